--- a/src/data_plane/drain.rs
+++ b/src/data_plane/drain.rs
@@ -74,7 +74,7 @@
 
     /// Waits until the request must not be sent to a worker any more for the end of the process.
     pub(crate) async fn too_late_to_send(&self) {
-        self.shared.shutdown.reached(Phase::Leaving).await;
+        self.shared.shutdown.reached(Phase::Draining).await;
         if self.ends_before_process() {
             std::future::pending().await
         }
@@ -83,7 +83,7 @@
 
 /// Waits for the shutdown and carries it out.
 pub(super) async fn shut_down(shared: &Shared) {
-    shared.shutdown.reached(Phase::Leaving).await;
+    shared.shutdown.reached(Phase::Draining).await;
     shared.fix_end_times();
     log::info!("told to end: {} requests run", shared.running_requests.count());
     // Where most requests could outlast the process, their clients lose less by a refused connection, after which they try
--- a/src/data_plane/expected_loads.rs
+++ b/src/data_plane/expected_loads.rs
@@ -31,7 +31,7 @@
 
 impl ExpectedLoads {
     /// Whether what the placer says now differs notably from what it said before.
-    pub fn differs(&self, key: &ModelKey, ready_at: Option<u64>) -> bool {
+    pub fn differs_significantly(&self, key: &ModelKey, ready_at: Option<u64>) -> bool {
         match (self.ready_at(key), ready_at) {
             (Some(known), Some(told)) => known.abs_diff(told) > NOTABLE_CHANGE_MS,
             (known, told) => known != told,
@@ -52,12 +52,12 @@
     }
 
     /// Whether one of the times lies before `time`.
-    pub fn has_before(&self, time: u64) -> bool {
+    pub fn has_entry_before(&self, time: u64) -> bool {
         self.ready_at.values().any(|ready_at| *ready_at < time)
     }
 
     /// Forgets times before `time`.
-    pub fn forget_before(&mut self, time: u64) {
+    pub fn remove_before(&mut self, time: u64) {
         self.ready_at.retain(|_, ready_at| *ready_at >= time);
     }
 }
--- a/src/data_plane/expected_loads/tests.rs
+++ b/src/data_plane/expected_loads/tests.rs
@@ -34,7 +34,7 @@
     let mut expected = ExpectedLoads::default();
     expected.set(key(1), Some(1_000));
     expected.set(key(2), Some(3_000));
-    expect_that!((expected.has_before(1_000), expected.has_before(2_000)), eq((false, true)));
-    expected.forget_before(2_000);
+    expect_that!((expected.has_entry_before(1_000), expected.has_entry_before(2_000)), eq((false, true)));
+    expected.remove_before(2_000);
     expect_that!((expected.ready_at(&key(1)), expected.ready_at(&key(2))), eq((None, Some(3_000))));
 }
--- a/src/data_plane/feedback.rs
+++ b/src/data_plane/feedback.rs
@@ -14,7 +14,7 @@
         /// How many wait for it here.
         waiting: u32,
         /// Shortest latency objective among them, in milliseconds.
-        aim_ms: u64,
+        target_latency_ms: u64,
     },
     /// No connection to a worker came up.
     Unreachable {
@@ -56,7 +56,7 @@
     /// Requests without a complete answer, those that wait included.
     pub outstanding: u32,
     /// Shortest latency objective among them, in milliseconds.
-    pub aim_ms: u64,
+    pub target_latency_ms: u64,
 }
 
 /// Requests of this gatekeeper that are out at a worker.
--- a/src/data_plane/interleavings.rs
+++ b/src/data_plane/interleavings.rs
@@ -121,7 +121,7 @@
 async fn phases_are_reached() {
     let shutdown = ShutdownHandle::new();
     let order = Rc::new(RefCell::new(Vec::new()));
-    let waiting: Vec<_> = [Phase::Closing, Phase::Leaving]
+    let waiting: Vec<_> = [Phase::Closing, Phase::Draining]
         .map(|phase| {
             let (shutdown, order) = (shutdown.clone(), order.clone());
             spawn_local(async move {
--- a/src/data_plane/missing.rs
+++ b/src/data_plane/missing.rs
@@ -69,7 +69,7 @@
             model: self.key.model.clone(),
             adapter: self.key.adapter.clone(),
             waiting: waiting.requests,
-            aim_ms: waiting.aim_ms,
+            target_latency_ms: waiting.aim_ms,
         })
     }
 }
--- a/src/data_plane/mod.rs
+++ b/src/data_plane/mod.rs
@@ -55,4 +55,4 @@
 pub use feedback::{Feedback, ModelDemand, RouteLoad, Summary, WorkerLoad};
 pub use server::DataPlane;
 pub use shutdown::{Phase, ShutdownHandle};
-pub use view::{LoadsElsewhere, RouteElsewhere, View};
+pub use view::{PeerLoads, PeerRouteLoad, View};
--- a/src/data_plane/shared.rs
+++ b/src/data_plane/shared.rs
@@ -117,7 +117,7 @@
         while self.document().is_none() && may_wait() {
             tokio::select! {
                 () = self.view_changed.notified() => {}
-                () = self.shutdown.reached(Phase::Leaving) => {}
+                () = self.shutdown.reached(Phase::Draining) => {}
                 () = tokio::time::sleep_until(until) => {}
             }
         }
@@ -159,7 +159,7 @@
         }
         if let Some(loads) = &view.loads {
             if !same_workers || !view.shares_loads_with(former) {
-                router.set_loads_elsewhere(loads.told_at, &loads.requests);
+                router.set_loads_elsewhere(loads.received_at, &loads.requests);
             }
         }
     }
--- a/src/data_plane/shutdown.rs
+++ b/src/data_plane/shutdown.rs
@@ -11,7 +11,7 @@
     /// Requests are taken.
     Serving,
     /// Not ready any more; new connections are still taken, and each answer carries `Connection: close`.
-    Leaving,
+    Draining,
     /// No new connection is taken, idle ones are closed, running requests end.
     Closing,
 }
@@ -54,7 +54,7 @@
 
     /// Starts the end; has no effect a second time.
     pub fn begin(&self) {
-        self.advance(Phase::Leaving);
+        self.advance(Phase::Draining);
     }
 
     /// The present phase.
--- a/src/data_plane/statistics.rs
+++ b/src/data_plane/statistics.rs
@@ -154,7 +154,7 @@
         requests_per_s: count.request_rate,
         tokens_per_s: count.token_rate,
         outstanding: count.running,
-        aim_ms: count.aim_ms,
+        target_latency_ms: count.aim_ms,
     }
 }
 
--- a/src/data_plane/tests/planned_work.rs
+++ b/src/data_plane/tests/planned_work.rs
@@ -92,7 +92,7 @@
 fn a_process_about_to_end_refuses_a_request_that_may_outlast_it_at_any_byte() {
     for route in ALL_ROUTES {
         let bytes = request_bytes(route, "q1", "", "a body");
-        for phase in [Phase::Leaving, Phase::Closing] {
+        for phase in [Phase::Draining, Phase::Closing] {
             for sent in 0..bytes.len() {
                 let case = format!("{}, {phase:?} after {sent} bytes", route.name());
                 paused(async {
@@ -117,7 +117,7 @@
 fn the_end_of_the_process_at_any_byte_of_a_request_answers_it_or_has_not_run_it() {
     for route in ALL_ROUTES {
         let bytes = request_bytes(route, "q1", "", "a body");
-        for phase in [Phase::Leaving, Phase::Closing] {
+        for phase in [Phase::Draining, Phase::Closing] {
             for sent in 0..=bytes.len() {
                 let case = format!("{}, {phase:?} after {sent} bytes", route.name());
                 paused(async {
@@ -128,7 +128,7 @@
                     let is_answered = answered.status == 200 && answered.complete && rig.runs("q1") == 1;
                     let is_unread = answered.status == 0 && rig.workers.seen.borrow().arrivals.is_empty();
                     expect_that!(is_answered || is_unread, eq(true), "{case}: {answered:?}");
-                    let must_answer = phase == Phase::Leaving || sent == bytes.len();
+                    let must_answer = phase == Phase::Draining || sent == bytes.len();
                     expect_that!(is_answered || !must_answer, eq(true), "{case}: {answered:?}");
                     if is_answered && sent < bytes.len() {
                         expect_that!(answered.header("connection"), some(eq("close")), "{case}");
--- a/src/data_plane/tests/process_end.rs
+++ b/src/data_plane/tests/process_end.rs
@@ -369,7 +369,7 @@
 #[gtest]
 fn connections_are_refused_from_sigterm_on_only_where_most_requests_may_outlast_the_process() {
     for (long, short, phase) in
-        [(0, 0, Phase::Leaving), (1, 60, Phase::Leaving), (60, 1, Phase::Closing), (60, 0, Phase::Closing)]
+        [(0, 0, Phase::Draining), (1, 60, Phase::Draining), (60, 1, Phase::Closing), (60, 0, Phase::Closing)]
     {
         paused(async {
             let mut rig = MemoryRig::start();
--- a/src/data_plane/tests/rig.rs
+++ b/src/data_plane/tests/rig.rs
@@ -269,7 +269,7 @@
         document: Some(Arc::new(document(revision, routes))),
         workers: workers.into_iter().map(Arc::new).collect(),
         loads: None,
-        expected: Arc::default(),
+        expected_loads: Arc::default(),
         gatekeepers: 1,
         confirmed: true,
     })
--- a/src/data_plane/view.rs
+++ b/src/data_plane/view.rs
@@ -16,9 +16,9 @@
     /// Workers of all services; times in them are those of [`super::now_ms`].
     pub workers: Arc<[Arc<WorkerView>]>,
     /// Load that the other gatekeepers cause, once it was told; it replaces what `workers` say of it.
-    pub loads: Option<Arc<LoadsElsewhere>>,
+    pub loads: Option<Arc<PeerLoads>>,
     /// When missing models and adapters should stand.
-    pub expected: Arc<ExpectedLoads>,
+    pub expected_loads: Arc<ExpectedLoads>,
     /// Gatekeepers that share the workers and the retry budget; 0 while it is not known.
     pub gatekeepers: u32,
     /// Whether a core node with a quorum has confirmed the configuration since the process started.
@@ -27,18 +27,18 @@
 
 /// What the other gatekeepers together have out and admit, as told at one time.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct LoadsElsewhere {
+pub struct PeerLoads {
     /// When it was told, by [`super::now_ms`].
-    pub told_at: u64,
+    pub received_at: u64,
     /// Requests out at each worker that has any.
     pub requests: HashMap<String, u32>,
     /// Sums of what they tell of each route.
-    pub routes: Vec<RouteElsewhere>,
+    pub routes: Vec<PeerRouteLoad>,
 }
 
 /// What the other gatekeepers together admit on a route.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RouteElsewhere {
+pub struct PeerRouteLoad {
     /// Name of the route.
     pub route: String,
     /// Their sum.
@@ -53,7 +53,7 @@
 
     /// Whether the other view is made of the same parts.
     pub fn shares_all_with(&self, other: &View) -> bool {
-        self.shares_state_with(other) && Arc::ptr_eq(&self.expected, &other.expected)
+        self.shares_state_with(other) && Arc::ptr_eq(&self.expected_loads, &other.expected_loads)
     }
 
     /// Whether the other view is the same but for the expected loads.
--- a/src/data_plane/worker_choice.rs
+++ b/src/data_plane/worker_choice.rs
@@ -125,8 +125,8 @@
     /// Waits until something else is told of when the request's model should stand.
     async fn expectation_changes(&self) {
         let Some(key) = model_key(&self.profile) else { return std::future::pending().await };
-        let before = self.shared.view().expected.ready_at(&key);
-        while self.shared.view().expected.ready_at(&key) == before {
+        let before = self.shared.view().expected_loads.ready_at(&key);
+        while self.shared.view().expected_loads.ready_at(&key) == before {
             self.shared.expected_changed.notified().await;
         }
     }
@@ -164,7 +164,7 @@
     /// Time until the model or adapter should stand, if the placer has told; zero if it should stand already.
     fn expected_wait(&self) -> Option<Duration> {
         let key = model_key(&self.profile)?;
-        let ready_at = self.shared.view().expected.ready_at(&key)?;
+        let ready_at = self.shared.view().expected_loads.ready_at(&key)?;
         let now = self.shared.now();
         let still_awaited = now <= ready_at.saturating_add(policy::EXPECTED_LATE_MS);
         still_awaited.then(|| Duration::from_millis(ready_at.saturating_sub(now)))
--- a/src/data_plane_feed.rs
+++ b/src/data_plane_feed.rs
@@ -6,8 +6,8 @@
 
 pub use self::worker_views::{worker_view, WorkerViews};
 use crate::data_plane::{
-    self, now_ms, DataPlane, ExpectedLoads, Feedback, LoadsElsewhere, ModelKey, RouteElsewhere,
-    ShutdownHandle, View,
+    self, now_ms, DataPlane, ExpectedLoads, Feedback, ModelKey, PeerLoads, PeerRouteLoad, ShutdownHandle,
+    View,
 };
 use crate::site_settings::SiteSettings;
 use crate::system::connection::{self, LinkKind};
@@ -63,7 +63,7 @@
     node: String,
     feed: FeedState,
     workers: WorkerViews,
-    loads: Option<Arc<LoadsElsewhere>>,
+    loads: Option<Arc<PeerLoads>>,
     expected: Arc<ExpectedLoads>,
     /// Load and demand of this data plane at its last summary.
     own: LoadTable,
@@ -166,15 +166,15 @@
         let adapter = Some(told.adapter).filter(|adapter| !adapter.is_empty());
         let key = ModelKey { service: told.service, model: told.model, adapter };
         let ready_at = told.ready_in_ms.map(|ready_in_ms| now.saturating_add(ready_in_ms));
-        if self.expected.differs(&key, ready_at) {
+        if self.expected.differs_significantly(&key, ready_at) {
             Arc::make_mut(&mut self.expected).set(Arc::new(key), ready_at);
         }
     }
 
     fn forget_expected(&mut self, now: u64) {
         let oldest = now.saturating_sub(EXPECTED_FOR_MS);
-        if self.expected.has_before(oldest) {
-            Arc::make_mut(&mut self.expected).forget_before(oldest);
+        if self.expected.has_entry_before(oldest) {
+            Arc::make_mut(&mut self.expected).remove_before(oldest);
         }
     }
 
@@ -184,7 +184,7 @@
             document: self.feed.state().document().cloned(),
             workers: self.workers.list(),
             loads: self.loads.clone(),
-            expected: self.expected.clone(),
+            expected_loads: self.expected.clone(),
             gatekeepers: self.feed.gatekeepers(),
             confirmed: self.feed.state().confirmed(),
         };
@@ -198,36 +198,36 @@
     }
 
     /// The load over the fleet without what this data plane last told.
-    fn loads_elsewhere(&self, now: u64) -> LoadsElsewhere {
+    fn loads_elsewhere(&self, now: u64) -> PeerLoads {
         let loads = self.feed.loads();
         let others = |(worker, total): (&String, &u32)| {
             let own = self.own.loads.get(worker).copied().unwrap_or(0);
             (worker.clone(), total.saturating_sub(own))
         };
-        LoadsElsewhere {
-            told_at: now,
+        PeerLoads {
+            received_at: now,
             requests: loads.loads.iter().map(others).collect(),
             routes: self.routes_elsewhere(&loads.admission),
         }
     }
 
-    fn routes_elsewhere(&self, totals: &BTreeMap<String, RouteAdmission>) -> Vec<RouteElsewhere> {
+    fn routes_elsewhere(&self, totals: &BTreeMap<String, RouteAdmission>) -> Vec<PeerRouteLoad> {
         let others = |total: &RouteAdmission| {
             let own = self.own.admission.get(&total.route).cloned().unwrap_or_default();
             let summary = switchhill_admission::Summary {
                 admitted_per_s: (total.admitted_per_s - own.admitted_per_s).max(0.0),
                 delay_cost_per_s: (total.delay_cost_per_s - own.delay_cost_per_s).max(0.0),
             };
-            RouteElsewhere { route: total.route.clone(), summary }
+            PeerRouteLoad { route: total.route.clone(), summary }
         };
         totals.values().map(others).collect()
     }
 
     fn feedback(&mut self, told: Feedback) -> Upstream {
         let body = match told {
-            Feedback::Missing { service, model, adapter, waiting, aim_ms } => {
+            Feedback::Missing { service, model, adapter, waiting, target_latency_ms } => {
                 let adapter = adapter.unwrap_or_default();
-                UpstreamBody::Missing(Missing { service, model, adapter, waiting, aim_ms })
+                UpstreamBody::Missing(Missing { service, model, adapter, waiting, aim_ms: target_latency_ms })
             }
             Feedback::Unreachable { worker, refused } => {
                 UpstreamBody::Unreachable(Unreachable { node: self.node.clone(), worker, refused })
@@ -268,7 +268,7 @@
         adapter: demand.adapter.clone().unwrap_or_default(),
         requests_per_s: demand.requests_per_s,
         tokens_per_s: demand.tokens_per_s,
-        aim_ms: demand.aim_ms,
+        aim_ms: demand.target_latency_ms,
         outstanding: demand.outstanding,
     })
 }
--- a/tests/data_plane_holding.rs
+++ b/tests/data_plane_holding.rs
@@ -50,7 +50,7 @@
             model: "small".into(),
             adapter: None,
             waiting: 1,
-            aim_ms: 4000,
+            target_latency_ms: 4000,
         };
         expect_that!(missing, eq(&expected));
         expect_that!(worker.has_nothing_more(), eq(true));
@@ -163,7 +163,7 @@
         let demand = &summary.demand[0];
         expect_that!(demand.requests_per_s, gt(0.0));
         expect_that!(demand.tokens_per_s / demand.requests_per_s, near(110.0, 1e-6));
-        expect_that!((demand.outstanding, demand.aim_ms), eq((1, 4000)));
+        expect_that!((demand.outstanding, demand.target_latency_ms), eq((1, 4000)));
         expect_that!((summary.routes[0].arrived, summary.routes[0].admitted), eq((1, 1)));
         expect_that!(
             (summary.outstanding[0].worker.as_str(), summary.outstanding[0].requests),
--- a/tests/data_plane_support/mod.rs
+++ b/tests/data_plane_support/mod.rs
@@ -78,7 +78,7 @@
             document: Some(Arc::new(document(routes))),
             workers: workers.into_iter().map(Arc::new).collect(),
             loads: None,
-            expected: Arc::new(expected),
+            expected_loads: Arc::new(expected),
             gatekeepers: 1,
             confirmed: true,
         };
@@ -89,7 +89,7 @@
     #[allow(dead_code, reason = "each test program has its own copy of this module")]
     pub fn tell_expected(&self, expected: ExpectedLoads) {
         let held = View::clone(&self.views.borrow());
-        self.tell_view(View { expected: Arc::new(expected), ..held });
+        self.tell_view(View { expected_loads: Arc::new(expected), ..held });
     }
 
     /// Tells a view as it is.
