--- a/src/data_plane/admission_stage.rs
+++ b/src/data_plane/admission_stage.rs
@@ -144,7 +144,7 @@
         f64::from(profile.prompt_tokens) + policy::OUTPUT_TOKEN_WEIGHT * f64::from(profile.output_tokens);
     match tokens > 0.0 {
         true => tokens,
-        false => policy::SIZE_WITHOUT_TOKENS,
+        false => policy::DEFAULT_REQUEST_UNITS,
     }
 }
 
--- a/src/data_plane/attempt.rs
+++ b/src/data_plane/attempt.rs
@@ -103,10 +103,10 @@
 
     /// Bounds of a connection for this request.
     pub(crate) fn lease_limits(&self) -> LeaseLimits {
-        let connect = self.rules.aim.mul_f64(policy::CONNECT_SHARE);
+        let connect = self.rules.aim.mul_f64(policy::CONNECT_TIMEOUT_SHARE);
         LeaseLimits {
             connections: self.shared.connection_limit(&self.profile.service),
-            connect: connect.clamp(policy::LEAST_CONNECT_LIMIT, policy::CONNECT_LIMIT),
+            connect: connect.clamp(policy::MIN_CONNECT_TIMEOUT, policy::MAX_CONNECT_TIMEOUT),
         }
     }
 
@@ -204,8 +204,8 @@
             self.shared.router.borrow_mut().missing_model(self.shared.now(), worker, &self.profile);
         }
         let outcome = AttemptOutcome::NotExecuted(status.as_u16());
-        let body = answer.read_start(policy::WHOLE_ANSWER_LIMIT);
-        match tokio::time::timeout(policy::REFUSAL_BODY_LIMIT, body).await {
+        let body = answer.read_start(policy::MAX_BUFFERED_RESPONSE_BYTES);
+        match tokio::time::timeout(policy::REFUSAL_BODY_TIMEOUT, body).await {
             Ok(BodyStart::Whole(_)) => answer.complete(outcome),
             _ => answer.abandon(outcome),
         }
--- a/src/data_plane/connector.rs
+++ b/src/data_plane/connector.rs
@@ -36,7 +36,7 @@
     fn connect(&self, address: SocketAddr) -> Connecting {
         Box::pin(async move {
             let stream = TcpStream::connect(address).await?;
-            prepare(&stream, policy::WORKER_SILENCE)?;
+            prepare(&stream, policy::WORKER_TCP_USER_TIMEOUT)?;
             Ok(Box::new(stream) as Box<dyn WorkerStream>)
         })
     }
--- a/src/data_plane/delivery.rs
+++ b/src/data_plane/delivery.rs
@@ -85,7 +85,7 @@
     answer.attempt.first_byte();
     exchange.first_byte();
     let start = tokio::select! {
-        start = answer.read_start(policy::WHOLE_ANSWER_LIMIT) => start,
+        start = answer.read_start(policy::MAX_BUFFERED_RESPONSE_BYTES) => start,
         () = tokio::time::sleep_until(exchange.deadline) => {
             answer.abandon(AttemptOutcome::TimedOut);
             return Delivery::TimedOut(Box::new(exchange));
--- a/src/data_plane/descriptors.rs
+++ b/src/data_plane/descriptors.rs
@@ -14,7 +14,7 @@
 impl DescriptorShares {
     /// Shares of `most` descriptors.
     pub(crate) fn of(most: u64) -> DescriptorShares {
-        let free = most.saturating_sub(policy::RESERVED_DESCRIPTORS + policy::OWN_DESCRIPTORS);
+        let free = most.saturating_sub(policy::RESERVED_FILE_DESCRIPTORS + policy::PROCESS_DESCRIPTORS);
         let clients = ((free as f64 * policy::CLIENT_DESCRIPTOR_SHARE) as u64).max(1);
         let workers = free.saturating_sub(clients).max(1);
         DescriptorShares {
--- a/src/data_plane/drain.rs
+++ b/src/data_plane/drain.rs
@@ -43,7 +43,7 @@
 
     /// Notes the time limit of a request that has arrived.
     pub(crate) fn note_time_limit(&self, time_limit: Duration) {
-        let fits = time_limit + policy::LAST_ANSWER_MARGIN <= self.shutdown_times().end;
+        let fits = time_limit + policy::LAST_RESPONSE_MARGIN <= self.shutdown_times().end;
         self.fitting_share.note(fits);
     }
 
@@ -69,7 +69,7 @@
     /// can tell how long it will run. That holds for all requests of a process that has not been told to end.
     pub(crate) fn ends_before_process(&self) -> bool {
         let process_end = self.shared.process_end();
-        process_end.is_none_or(|end| self.deadline + policy::LAST_ANSWER_MARGIN <= end)
+        process_end.is_none_or(|end| self.deadline + policy::LAST_RESPONSE_MARGIN <= end)
     }
 
     /// Waits until the request must not be sent to a worker any more for the end of the process.
@@ -88,11 +88,11 @@
     log::info!("told to end: {} requests run", shared.running_requests.count());
     // Where most requests could outlast the process, their clients lose less by a refused connection, after which they try
     // another gatekeeper, than by a refused request.
-    if shared.fitting_share.0.get() >= policy::LEAST_FITTING_SHARE {
+    if shared.fitting_share.0.get() >= policy::MIN_FITTING_SHARE {
         tokio::time::sleep(shared.shutdown_times().leaving).await;
     }
     shared.shutdown.advance(Phase::Closing);
-    tokio::time::sleep(policy::CLOSING_PAUSE).await;
+    tokio::time::sleep(policy::CLOSING_GRACE).await;
     finish_answers(shared).await;
     report_cut_requests(shared);
 }
@@ -106,7 +106,7 @@
         let is_busy = shared.running.get() > 0 || shared.unwritten_connections.get() > 0;
         if is_busy {
             quiet_since = Instant::now();
-        } else if quiet_since.elapsed() >= policy::LAST_BYTES {
+        } else if quiet_since.elapsed() >= policy::UNUSED_CONNECTION_TIMEOUT {
             return;
         }
         tokio::time::sleep(END_CHECK).await;
--- a/src/data_plane/exchange.rs
+++ b/src/data_plane/exchange.rs
@@ -136,7 +136,7 @@
         let repeatable = self.rules.idempotent || !self.trail.may_have_run;
         repeatable
             && self.trail.sent < self.rules.most_workers
-            && self.trail.unsent < policy::UNSENT_ATTEMPTS
+            && self.trail.unsent < policy::MAX_UNSENT_ATTEMPTS
             && !self.time_left().is_zero()
             && self.ends_before_process()
     }
--- a/src/data_plane/ingress.rs
+++ b/src/data_plane/ingress.rs
@@ -44,7 +44,7 @@
 /// Waits until what had come when the last phase began has been read.
 async fn closing_pause_over(shutdown: &ShutdownHandle) {
     shutdown.reached(Phase::Closing).await;
-    tokio::time::sleep(policy::CLOSING_PAUSE).await;
+    tokio::time::sleep(policy::CLOSING_GRACE).await;
 }
 
 async fn accept_all(shared: &Rc<Shared>, listener: &TcpListener, places: &Arc<Semaphore>) {
@@ -56,14 +56,14 @@
             }
             Err(error) => {
                 log::warn!("accepting a client: {error}");
-                tokio::time::sleep(policy::CONNECTION_REST).await;
+                tokio::time::sleep(policy::CONNECTION_SETTLE_TIME).await;
             }
         }
     }
 }
 
 async fn serve_connection(shared: Rc<Shared>, stream: TcpStream, _place: OwnedSemaphorePermit) {
-    if let Err(error) = connector::prepare(&stream, policy::CLIENT_SILENCE) {
+    if let Err(error) = connector::prepare(&stream, policy::CLIENT_TCP_USER_TIMEOUT) {
         log::debug!("socket options of a client: {error}");
     }
     serve_stream(shared, stream).await;
@@ -96,7 +96,7 @@
 
 fn connection_settings(limits: &ClientLimits) -> http1::Builder {
     // One timer bounds both the rest between two requests and the time a head takes.
-    let idle = Duration::from_millis(limits.idle_timeout_ms) + policy::IDLE_GRACE;
+    let idle = Duration::from_millis(limits.idle_timeout_ms) + policy::CLIENT_IDLE_GRACE;
     let head = Duration::from_millis(limits.header_timeout_ms);
     let head_buffer = usize::try_from(limits.max_header_bytes).unwrap_or(usize::MAX);
     let mut settings = http1::Builder::new();
@@ -104,7 +104,7 @@
         .timer(TokioTimer::new())
         .auto_date_header(false)
         .header_read_timeout(idle.max(head))
-        .max_buf_size(head_buffer.max(policy::LEAST_HEAD_BUFFER));
+        .max_buf_size(head_buffer.max(policy::MIN_HEAD_BUFFER_BYTES));
     settings
 }
 
@@ -126,7 +126,7 @@
     let read = tokio::time::timeout_at(arrived + time, read_body(shared, body)).await;
     let read = read.unwrap_or(Err(LocalReply::NotRun { retry_after_ms: policy::RETRY_AFTER_REFUSED_MS }));
     if read.is_ok() {
-        shared.first_document(arrived + policy::NO_CONFIGURATION_HOLD.min(time / 4)).await;
+        shared.first_document(arrived + policy::MAX_CONFIGURATION_WAIT.min(time / 4)).await;
     }
     let admitted = read.and_then(|body| {
         let route = find_route(shared, &head)?;
@@ -142,8 +142,8 @@
 fn body_time(shared: &Shared, head: &RequestHead) -> Duration {
     let document = shared.document();
     let route = document.as_ref().and_then(|document| document.route(&head.host, &head.path));
-    let timeout = route.map_or(policy::BODY_LIMIT, |route| Duration::from_millis(route.timeout_ms));
-    head.deadline.unwrap_or(timeout).min(timeout).min(policy::BODY_LIMIT)
+    let timeout = route.map_or(policy::MAX_BODY_READ_TIME, |route| Duration::from_millis(route.timeout_ms));
+    head.deadline.unwrap_or(timeout).min(timeout).min(policy::MAX_BODY_READ_TIME)
 }
 
 async fn read_body(shared: &Shared, body: Incoming) -> Result<Bytes, LocalReply> {
--- a/src/data_plane/missing.rs
+++ b/src/data_plane/missing.rs
@@ -43,7 +43,7 @@
     /// Forgets models that nobody has waited for lately.
     pub(crate) fn forget_old(&self, now: u64) {
         let is_recent = |waiting: &Waiting| {
-            waiting.told_at.is_some_and(|told| now.saturating_sub(told) < policy::MISSING_INTERVAL_MS)
+            waiting.told_at.is_some_and(|told| now.saturating_sub(told) < policy::MISSING_REPORT_INTERVAL_MS)
         };
         self.waiting.borrow_mut().retain(|_, waiting| waiting.requests > 0 || is_recent(waiting));
     }
@@ -60,7 +60,7 @@
     pub(crate) fn report(&self, now: u64) -> Option<Feedback> {
         let mut all = self.models.waiting.borrow_mut();
         let waiting = all.get_mut(&self.key)?;
-        if waiting.told_at.is_some_and(|told| now.saturating_sub(told) < policy::MISSING_INTERVAL_MS) {
+        if waiting.told_at.is_some_and(|told| now.saturating_sub(told) < policy::MISSING_REPORT_INTERVAL_MS) {
             return None;
         }
         waiting.told_at = Some(now);
--- a/src/data_plane/pool.rs
+++ b/src/data_plane/pool.rs
@@ -104,7 +104,7 @@
         limits: LeaseLimits,
     ) -> Result<Lease, NoConnection> {
         let home = self.home(worker_id);
-        let give_up = Instant::now() + policy::CONNECTION_WAIT;
+        let give_up = Instant::now() + policy::MAX_CONNECTION_WAIT;
         loop {
             if let Some(counted) = home.take_idle() {
                 return Ok(Lease { counted, home });
@@ -142,7 +142,7 @@
             return Ok(());
         }
         let counted = CountedConnection::within(limits.connect, self.connect(address), &home.count).await?;
-        home.rest(counted, policy::CHECKED_CONNECTION_IDLE);
+        home.rest(counted, policy::PROBE_CONNECTION_IDLE_TIMEOUT);
         Ok(())
     }
 
@@ -229,7 +229,7 @@
 
     /// Whether surplus bytes of the last answer would have shown by now.
     fn is_rested(&self, now: Instant) -> bool {
-        now.duration_since(self.since) >= policy::CONNECTION_REST
+        now.duration_since(self.since) >= policy::CONNECTION_SETTLE_TIME
     }
 }
 
@@ -271,8 +271,8 @@
 
     /// Puts the connection to rest after a whole answer; `idle_for` is the time the worker keeps it.
     pub(crate) fn keep(self, idle_for: Option<Duration>) {
-        let idle_for = idle_for.unwrap_or(policy::IDLE_DEFAULT);
-        let margin = policy::IDLE_MARGIN.min(idle_for.mul_f64(policy::IDLE_MARGIN_SHARE));
+        let idle_for = idle_for.unwrap_or(policy::DEFAULT_IDLE_TIMEOUT);
+        let margin = policy::IDLE_CLOSE_MARGIN.min(idle_for.mul_f64(policy::IDLE_CLOSE_MARGIN_SHARE));
         let idle_for = idle_for - margin;
         let Lease { mut counted, home } = self;
         if counted.connection.is_ready() {
@@ -283,7 +283,8 @@
             return;
         }
         tokio::task::spawn_local(async move {
-            let settled = tokio::time::timeout(policy::CONNECTION_REST, counted.connection.ready()).await;
+            let settled =
+                tokio::time::timeout(policy::CONNECTION_SETTLE_TIME, counted.connection.ready()).await;
             if let Ok(Ok(())) = settled {
                 home.rest(counted, idle_for);
             }
--- a/src/data_plane/reachability.rs
+++ b/src/data_plane/reachability.rs
@@ -20,7 +20,7 @@
     /// Whether the worker is due for a report; if so it counts as made.
     fn is_due(&self, now: u64, worker: &str) -> bool {
         let mut last = self.last.borrow_mut();
-        last.retain(|_, at| now.saturating_sub(*at) < policy::UNREACHABLE_INTERVAL_MS);
+        last.retain(|_, at| now.saturating_sub(*at) < policy::UNREACHABLE_REPORT_INTERVAL_MS);
         if last.contains_key(worker) {
             return false;
         }
--- a/src/data_plane/server.rs
+++ b/src/data_plane/server.rs
@@ -91,10 +91,10 @@
 /// Starts what the data plane does by the clock.
 pub(crate) fn spawn_repeated_work(shared: &Rc<Shared>, tasks: &mut JoinSet<()>) {
     let repeated: [RepeatedWork; 4] = [
-        (policy::TICK, Shared::tick),
-        (policy::SUMMARY_TICK, Shared::summarize),
-        (policy::SILENCE_TICK, Shared::look_for_silence),
-        (policy::LOG_TICK, Shared::log_refusals),
+        (policy::HOUSEKEEPING_INTERVAL, Shared::tick),
+        (policy::SUMMARY_INTERVAL, Shared::summarize),
+        (policy::STALL_CHECK_INTERVAL, Shared::look_for_silence),
+        (policy::REFUSAL_LOG_INTERVAL, Shared::log_refusals),
     ];
     for (every, work) in repeated {
         let shared = shared.clone();
@@ -107,7 +107,7 @@
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(policy::BACKLOG)
+        socket.listen(policy::LISTEN_BACKLOG)
     };
     open().with_context(|| format!("listening on {address}"))
 }
--- a/src/data_plane/shared.rs
+++ b/src/data_plane/shared.rs
@@ -206,10 +206,10 @@
     pub(crate) fn connection_limit(&self, service: &str) -> u32 {
         let view = self.view.borrow();
         let service = view.document.as_ref().and_then(|document| document.service(service));
-        let Some(service) = service else { return policy::LEAST_CONNECTIONS };
+        let Some(service) = service else { return policy::MIN_CONNECTIONS_PER_WORKER };
         let gatekeepers = f64::from(view.gatekeepers.max(1));
-        let share = f64::from(service.max_connections) * policy::CONNECTION_SHARE / gatekeepers;
-        policy::LEAST_CONNECTIONS.max(share as u32)
+        let share = f64::from(service.max_connections) * policy::WORKER_CONNECTION_SHARE / gatekeepers;
+        policy::MIN_CONNECTIONS_PER_WORKER.max(share as u32)
     }
 
     /// Tells the agent something. An agent that has gone hears nothing.
@@ -259,7 +259,7 @@
 
 fn router_settings(settings: &SiteSettings) -> RouterSettings {
     let zone = settings.zone.clone();
-    RouterSettings { silent_ms: policy::STREAM_SILENCE_MS, zone, ..settings.decisions.router.clone() }
+    RouterSettings { silent_ms: policy::STREAM_STALL_MS, zone, ..settings.decisions.router.clone() }
 }
 
 fn same_budget(one: &Bounds, other: &Bounds) -> bool {
--- a/src/data_plane/shutdown.rs
+++ b/src/data_plane/shutdown.rs
@@ -42,7 +42,7 @@
     /// Times that fit before SIGKILL, which comes `grace` after SIGTERM.
     pub(crate) fn within(grace: Duration) -> ShutdownTimes {
         let end = grace.saturating_sub(policy::EXIT_MARGIN);
-        let leaving = policy::LEAVING_LIMIT.min(grace.mul_f64(policy::LEAVING_SHARE)).min(end);
+        let leaving = policy::MAX_DRAIN_TIME.min(grace.mul_f64(policy::DRAIN_SHARE)).min(end);
         ShutdownTimes { leaving, end }
     }
 }
--- a/src/data_plane/statistics.rs
+++ b/src/data_plane/statistics.rs
@@ -118,7 +118,7 @@
         for count in table.values_mut() {
             count.average(span_ms as f64);
         }
-        table.retain(|_, count| count.running > 0 || count.request_rate >= policy::LEAST_DEMAND);
+        table.retain(|_, count| count.running > 0 || count.request_rate >= policy::MIN_DEMAND_PER_S);
         table.iter().map(|(key, count)| model_demand(key, count)).collect()
     }
 
@@ -136,7 +136,7 @@
     fn average(&mut self, span_ms: f64) {
         let span_ms = span_ms.max(LEAST_SPAN_MS);
         let span_s = span_ms / 1000.0;
-        let weight = 1.0 - (-span_ms / policy::DEMAND_OVER_MS).exp();
+        let weight = 1.0 - (-span_ms / policy::DEMAND_TIME_CONSTANT_MS).exp();
         let tokens = (self.prompt_tokens + self.output_tokens) as f64;
         self.request_rate += weight * (f64::from(self.requests) / span_s - self.request_rate);
         self.token_rate += weight * (tokens / span_s - self.token_rate);
--- a/src/data_plane/stream_answer.rs
+++ b/src/data_plane/stream_answer.rs
@@ -230,7 +230,7 @@
     async fn resume(&mut self, last_event_id: Option<u64>, versions: Option<u64>) -> Option<WorkerAnswer> {
         self.trail.may_have_run = true;
         let resumed = self.ask_for_rest(last_event_id, versions);
-        tokio::time::timeout(policy::RESUME_LIMIT, resumed).await.ok().flatten()
+        tokio::time::timeout(policy::RESUME_TIMEOUT, resumed).await.ok().flatten()
     }
 
     async fn ask_for_rest(
@@ -241,7 +241,7 @@
         let mut point = ResumePoint { last_event_id, expect_version: versions };
         while self.may_try_again() {
             let Choice::Send(worker) = self.choose() else {
-                tokio::time::sleep(policy::RESUME_PAUSE).await;
+                tokio::time::sleep(policy::RESUME_RETRY_INTERVAL).await;
                 continue;
             };
             match self.attempt(worker, point).await {
--- a/src/data_plane/tests/planned_work.rs
+++ b/src/data_plane/tests/planned_work.rs
@@ -51,7 +51,7 @@
                     tokio::time::sleep(Duration::from_millis(5)).await;
                     work(&rig);
                     // Longer than connections are served as before once the last phase has begun.
-                    tokio::time::sleep(policy::CLOSING_PAUSE + Duration::from_millis(5)).await;
+                    tokio::time::sleep(policy::CLOSING_GRACE + Duration::from_millis(5)).await;
                     rig.workers.say(&whole[sent..]);
                     tokio::time::sleep(Duration::from_millis(5)).await;
                     // Connections at rest end with the process.
--- a/src/data_plane/worker_choice.rs
+++ b/src/data_plane/worker_choice.rs
@@ -51,7 +51,7 @@
     /// The answer of a request that may not end before the process.
     fn give_up_leaving(&self) -> LocalReply {
         self.shared.statistics.borrow_mut().refusals.leaving += 1;
-        self.not_run(policy::RETRY_AFTER_LEAVING_MS)
+        self.not_run(policy::RETRY_AFTER_SHUTDOWN_MS)
     }
 
     /// The answer of a request that is given up, with advice by what the router says now.
@@ -114,7 +114,7 @@
     }
 
     async fn wait_for_view(&self, until: Instant) {
-        let next_report = Instant::now() + Duration::from_millis(policy::MISSING_INTERVAL_MS);
+        let next_report = Instant::now() + Duration::from_millis(policy::MISSING_REPORT_INTERVAL_MS);
         tokio::select! {
             () = self.shared.view_changed.notified() => {}
             () = self.expectation_changes() => {}
@@ -137,10 +137,10 @@
         if !self.shared.settings.borrow().decisions.holding.for_model {
             return self.arrived;
         }
-        let is_short = aim < Duration::from_millis(policy::SHORT_AIM_MS);
+        let is_short = aim < Duration::from_millis(policy::SHORT_TARGET_LATENCY_MS);
         let by_aim = match is_short {
             true => self.short_aim_hold(aim),
-            false => aim.mul_f64(policy::LONG_HOLD_SHARE),
+            false => aim.mul_f64(policy::LONG_TARGET_WAIT_SHARE),
         };
         self.hold_end(by_aim)
     }
@@ -150,13 +150,13 @@
     fn short_aim_hold(&self, aim: Duration) -> Duration {
         let Some(wait) = self.expected_wait() else {
             return match &self.profile.adapter {
-                Some(_) => policy::SHORT_HOLD_ADAPTER.min(aim.mul_f64(policy::SHORT_HOLD_ADAPTER_SHARE)),
-                None => aim.mul_f64(policy::SHORT_HOLD_SHARE),
+                Some(_) => policy::MAX_ADAPTER_WAIT.min(aim.mul_f64(policy::MAX_ADAPTER_WAIT_SHARE)),
+                None => aim.mul_f64(policy::SHORT_TARGET_WAIT_SHARE),
             };
         };
-        let in_time = self.arrived.elapsed() + wait <= aim.mul_f64(policy::EXPECTED_HOLD_SHARE);
+        let in_time = self.arrived.elapsed() + wait <= aim.mul_f64(policy::EXPECTED_LOAD_WAIT_SHARE);
         match in_time {
-            true => aim.mul_f64(policy::LONG_HOLD_SHARE),
+            true => aim.mul_f64(policy::LONG_TARGET_WAIT_SHARE),
             false => Duration::ZERO,
         }
     }
@@ -166,24 +166,24 @@
         let key = model_key(&self.profile)?;
         let ready_at = self.shared.view().expected_loads.ready_at(&key)?;
         let now = self.shared.now();
-        let still_awaited = now <= ready_at.saturating_add(policy::EXPECTED_LATE_MS);
+        let still_awaited = now <= ready_at.saturating_add(policy::EXPECTED_LOAD_OVERDUE_MS);
         still_awaited.then(|| Duration::from_millis(ready_at.saturating_sub(now)))
     }
 
     /// Until when a request is held for a first worker of its service.
     fn worker_hold_end(&self) -> Instant {
-        self.hold_end(policy::NO_WORKER_HOLD)
+        self.hold_end(policy::MAX_FIRST_WORKER_WAIT)
     }
 
     fn hold_end(&self, longest: Duration) -> Instant {
         let whole = self.deadline.saturating_duration_since(self.arrived);
-        self.arrived + longest.min(whole.mul_f64(policy::HOLD_LEFT_SHARE))
+        self.arrived + longest.min(whole.mul_f64(policy::MAX_WAIT_SHARE_OF_TIMEOUT))
     }
 
     /// When to come back for a model or adapter that stands nowhere, in milliseconds.
     fn retry_after_load_ms(&self) -> u64 {
         if let Some(wait) = self.expected_wait().filter(|wait| !wait.is_zero()) {
-            return wait.as_millis() as u64 + policy::RETRY_AFTER_EXPECTED_MS;
+            return wait.as_millis() as u64 + policy::RETRY_AFTER_EXPECTED_LOAD_MS;
         }
         if self.profile.adapter.is_some() && self.stands_without_adapter() {
             return policy::RETRY_AFTER_ADAPTER_MS;
@@ -193,7 +193,7 @@
         let name = self.profile.model.as_deref().unwrap_or_default();
         let model = service.and_then(|service| service.model(name));
         model.map_or(policy::RETRY_AFTER_MODEL_MS, |model| {
-            (model.load_s * 1000.0) as u64 + policy::LOAD_OVERHEAD_MS
+            (model.load_s * 1000.0) as u64 + policy::MODEL_LOAD_OVERHEAD_MS
         })
     }
 
