--- a/src/data_plane/admission_stage.rs
+++ b/src/data_plane/admission_stage.rs
@@ -22,7 +22,7 @@
     admitted_at: u64,
     units: f64,
     waited_for_load: bool,
-    told: bool,
+    reported: bool,
 }
 
 impl AdmissionStage {
@@ -33,13 +33,13 @@
     }
 
     /// Takes the routes of a new configuration.
-    pub(crate) fn set_document(&self, now: u64, document: &Document) {
+    pub(crate) fn set_routes(&self, now: u64, document: &Document) {
         let terms: Vec<RouteTerms> = document.routes().iter().map(route_terms).collect();
         self.controller.borrow_mut().set_routes(now, &terms);
     }
 
     /// Takes what a view tells of the other gatekeepers, and the workers with our requests at them.
-    pub(crate) fn set_view<'a>(
+    pub(crate) fn apply_view<'a>(
         &self,
         now: u64,
         view: &View,
@@ -47,8 +47,8 @@
     ) {
         let mut controller = self.controller.borrow_mut();
         controller.set_gatekeepers(view.gatekeepers.max(1));
-        for told in view.loads.iter().flat_map(|loads| &loads.routes) {
-            controller.elsewhere(now, &told.route, told.summary);
+        for load in view.loads.iter().flat_map(|loads| &loads.routes) {
+            controller.elsewhere(now, &load.route, load.summary);
         }
         for (service, load) in service_loads(workers) {
             controller.set_service(now, service, load);
@@ -56,14 +56,14 @@
     }
 
     /// Decides on a request.
-    pub(crate) fn arrived(
+    pub(crate) fn admit(
         self: &Rc<Self>,
         now: u64,
         route: &str,
         profile: &RequestProfile,
         time_left_ms: u64,
     ) -> Result<AdmittedRequest, u64> {
-        let units = size(profile);
+        let units = request_units(profile);
         let decision = self.controller.borrow_mut().arrived(now, route, units, time_left_ms as f64);
         match decision {
             Decision::Refuse { retry_after_ms } => Err(retry_after_ms),
@@ -73,7 +73,7 @@
                 admitted_at: now,
                 units,
                 waited_for_load: false,
-                told: false,
+                reported: false,
             }),
         }
     }
@@ -84,34 +84,34 @@
     }
 
     /// Adds what the controller tells the other gatekeepers to the routes counted.
-    pub(crate) fn complete(&self, now: u64, routes: &mut Vec<RouteLoad>) {
+    pub(crate) fn add_route_rates(&self, now: u64, routes: &mut Vec<RouteLoad>) {
         for (name, summary) in self.controller.borrow().summary(now) {
-            let place = routes.iter().position(|load| load.route == name).unwrap_or_else(|| {
+            let index = routes.iter().position(|load| load.route == name).unwrap_or_else(|| {
                 routes.push(RouteLoad { route: name, ..RouteLoad::default() });
                 routes.len() - 1
             });
-            routes[place].admitted_per_s = summary.admitted_per_s;
-            routes[place].delay_cost_per_s = summary.delay_cost_per_s;
+            routes[index].admitted_per_s = summary.admitted_per_s;
+            routes[index].delay_cost_per_s = summary.delay_cost_per_s;
         }
     }
 }
 
 impl AdmittedRequest {
     /// The request waits for a load: its latency tells nothing of congestion.
-    pub(crate) fn waits_for_load(&mut self) {
+    pub(crate) fn mark_waiting_for_load(&mut self) {
         self.waited_for_load = true;
     }
 
     /// The answer has begun.
-    pub(crate) fn first_byte(&mut self, now: u64) {
-        self.tell(now, Some(now.saturating_sub(self.admitted_at) as f64));
+    pub(crate) fn record_first_byte(&mut self, now: u64) {
+        self.report_sample(now, Some(now.saturating_sub(self.admitted_at) as f64));
     }
 
-    fn tell(&mut self, now: u64, first_byte_ms: Option<f64>) {
-        if self.told {
+    fn report_sample(&mut self, now: u64, first_byte_ms: Option<f64>) {
+        if self.reported {
             return;
         }
-        self.told = true;
+        self.reported = true;
         let sample = Sample {
             first_byte_ms,
             waited_for_load: self.waited_for_load,
@@ -124,7 +124,7 @@
 
 impl Drop for AdmittedRequest {
     fn drop(&mut self) {
-        self.tell(super::clock::now_ms(), None);
+        self.report_sample(super::clock::now_ms(), None);
     }
 }
 
@@ -139,7 +139,7 @@
 }
 
 /// Tokens of the prompt and weighted tokens put out.
-fn size(profile: &RequestProfile) -> f64 {
+fn request_units(profile: &RequestProfile) -> f64 {
     let tokens =
         f64::from(profile.prompt_tokens) + policy::OUTPUT_TOKEN_WEIGHT * f64::from(profile.output_tokens);
     match tokens > 0.0 {
--- a/src/data_plane/attempt.rs
+++ b/src/data_plane/attempt.rs
@@ -1,11 +1,11 @@
-//! One attempt: a connection, the request, and the head of the answer.
+//! One attempt: a connection, the request, and the head of the response.
 
 use super::exchange::Exchange;
 use super::forwarded_request::AttemptFields;
-use super::outcome::{judge, Verdict};
+use super::outcome::{classify, ResponseClass};
 use super::outstanding::OutstandingAttempt;
 use super::policy;
-use super::pool::{Lease, LeaseLimits, NoConnection};
+use super::pool::{Lease, LeaseError, LeaseLimits};
 use super::worker_answer::{BodyStart, WorkerAnswer};
 use super::worker_connection::SendFailure;
 use hyper::body::Incoming;
@@ -23,9 +23,9 @@
 }
 
 /// What became of an attempt.
-pub(crate) enum AttemptEnd {
-    /// The worker's own answer begins.
-    Answered(Box<WorkerAnswer>),
+pub(crate) enum AttemptResult {
+    /// The worker's own response begins.
+    Responded(Box<WorkerAnswer>),
     /// Nothing was sent.
     NotSent,
     /// The worker did not run the request and said so with this status.
@@ -35,75 +35,75 @@
     /// The deadline passed after it was sent.
     TimedOut,
     /// It would be a repeat, and the budget has none left.
-    OutOfBudget,
+    RetryBudgetExhausted,
 }
 
-enum Sent {
-    Answer(Response<Incoming>),
+enum SendResult {
+    Response(Response<Incoming>),
     Failed(SendFailure),
     /// All streams of the worker have stopped.
-    WorkerSilent,
-    DeadlinePassed,
+    WorkerStalled,
+    DeadlineExceeded,
 }
 
 impl Exchange {
     /// Sends the request to the worker. The trail says afterwards what has been tried.
-    pub(crate) async fn attempt(&mut self, worker: WorkerKey, resume: ResumePoint) -> AttemptEnd {
+    pub(crate) async fn attempt(&mut self, worker: WorkerKey, resume: ResumePoint) -> AttemptResult {
         let attempt = OutstandingAttempt::begin(&self.shared, worker, &self.profile);
         let lease = match self.lease(worker).await {
             Ok(lease) => lease,
             Err(outcome) => {
-                self.trail.unsent += 1;
-                self.trail.excluded.push(worker);
+                self.history.unsent += 1;
+                self.history.excluded.push(worker);
                 attempt.finish(outcome);
-                return AttemptEnd::NotSent;
+                return AttemptResult::NotSent;
             }
         };
-        if !self.shared.may_send(worker) || !self.ends_before_process() {
-            self.trail.unsent += 1;
-            return AttemptEnd::NotSent;
+        if !self.shared.may_send(worker) || !self.ends_before_shutdown() {
+            self.history.unsent += 1;
+            return AttemptResult::NotSent;
         }
-        if self.trail.sent > 0 && !self.take_repeat() {
-            return AttemptEnd::OutOfBudget;
+        if self.history.sent > 0 && !self.charge_retry() {
+            return AttemptResult::RetryBudgetExhausted;
         }
-        self.trail.sent += 1;
-        self.entry.sent();
+        self.history.sent += 1;
+        self.running_entry.record_send();
         self.send(worker, lease, attempt, resume).await
     }
 
-    fn take_repeat(&self) -> bool {
-        self.shared.budget.borrow_mut().try_repeat(self.shared.now(), &self.profile.service)
+    fn charge_retry(&self) -> bool {
+        self.shared.retry_budget.borrow_mut().try_repeat(self.shared.now(), &self.profile.service)
     }
 
     /// A connection to the worker, as long as requests may be sent to it.
     async fn lease(&self, worker: WorkerKey) -> Result<Lease, AttemptOutcome> {
-        let Some((id, address)) = self.worker_place(worker) else { return Err(AttemptOutcome::Cancelled) };
+        let Some((id, address)) = self.worker_address(worker) else { return Err(AttemptOutcome::Cancelled) };
         let limits = self.lease_limits();
         tokio::select! {
-            leased = self.shared.pool.lease(&id, &address, limits) => leased.map_err(|reason| {
+            lease_result = self.shared.pool.lease(&id, &address, limits) => lease_result.map_err(|reason| {
                 self.shared.report_unreachable(&id, reason);
                 match reason {
-                    NoConnection::Refused | NoConnection::ConnectFailed => AttemptOutcome::ConnectFailed,
-                    NoConnection::AllInUse => {
+                    LeaseError::Refused | LeaseError::ConnectFailed => AttemptOutcome::ConnectFailed,
+                    LeaseError::PoolExhausted => {
                         AttemptOutcome::NotExecuted(StatusCode::SERVICE_UNAVAILABLE.as_u16())
                     }
                 }
             }),
-            () = self.shared.worker_leaves(worker) => Err(AttemptOutcome::Cancelled),
-            () = self.too_late_to_send() => Err(AttemptOutcome::Cancelled),
+            () = self.shared.worker_becomes_unavailable(worker) => Err(AttemptOutcome::Cancelled),
+            () = self.shutdown_forbids_sending() => Err(AttemptOutcome::Cancelled),
             () = tokio::time::sleep_until(self.deadline) => Err(AttemptOutcome::Cancelled),
         }
     }
 
     /// Id and address of a worker that is still listed.
-    pub(crate) fn worker_place(&self, worker: WorkerKey) -> Option<(String, String)> {
+    pub(crate) fn worker_address(&self, worker: WorkerKey) -> Option<(String, String)> {
         let router = self.shared.router.borrow();
         router.worker(worker).map(|view| (view.id.clone(), view.address.clone()))
     }
 
     /// Bounds of a connection for this request.
     pub(crate) fn lease_limits(&self) -> LeaseLimits {
-        let connect = self.rules.aim.mul_f64(policy::CONNECT_TIMEOUT_SHARE);
+        let connect = self.rules.target_latency.mul_f64(policy::CONNECT_TIMEOUT_SHARE);
         LeaseLimits {
             connections: self.shared.connection_limit(&self.profile.service),
             connect: connect.clamp(policy::MIN_CONNECT_TIMEOUT, policy::MAX_CONNECT_TIMEOUT),
@@ -116,43 +116,52 @@
         mut lease: Lease,
         attempt: OutstandingAttempt,
         resume: ResumePoint,
-    ) -> AttemptEnd {
-        self.trail.excluded.push(worker);
-        let sent = self.wait_for_head(worker, &mut lease, resume).await;
-        if matches!(sent, Sent::Failed(_)) {
-            self.check_worker(worker);
+    ) -> AttemptResult {
+        self.history.excluded.push(worker);
+        let sent = self.send_and_await_head(worker, &mut lease, resume).await;
+        if matches!(sent, SendResult::Failed(_)) {
+            self.probe_worker(worker);
         }
         match sent {
-            Sent::Answer(answer) => self.judge_answer(WorkerAnswer::new(answer, lease, attempt)).await,
-            Sent::Failed(SendFailure::NotSent) => self.take_back(),
-            Sent::Failed(SendFailure::Broken) => self.may_have_run(attempt, AttemptOutcome::Broken),
-            Sent::WorkerSilent => self.may_have_run(attempt, AttemptOutcome::TimedOut),
-            Sent::DeadlinePassed => {
-                self.may_have_run(attempt, AttemptOutcome::TimedOut);
-                AttemptEnd::TimedOut
+            SendResult::Response(response) => {
+                self.classify_response(WorkerAnswer::new(response, lease, attempt)).await
+            }
+            SendResult::Failed(SendFailure::NotSent) => self.undo_send(),
+            SendResult::Failed(SendFailure::Broken) => {
+                self.record_possible_run(attempt, AttemptOutcome::Broken)
+            }
+            SendResult::WorkerStalled => self.record_possible_run(attempt, AttemptOutcome::TimedOut),
+            SendResult::DeadlineExceeded => {
+                self.record_possible_run(attempt, AttemptOutcome::TimedOut);
+                AttemptResult::TimedOut
             }
         }
     }
 
     /// Undoes the count of an attempt whose connection had closed. The worker may be tried on another one.
-    fn take_back(&mut self) -> AttemptEnd {
-        self.entry.did_not_run();
-        self.trail.excluded.pop();
-        self.trail.sent -= 1;
-        self.trail.unsent += 1;
-        if self.trail.sent > 0 {
-            self.shared.budget.borrow_mut().give_back(self.shared.now(), &self.profile.service);
+    fn undo_send(&mut self) -> AttemptResult {
+        self.running_entry.record_not_run();
+        self.history.excluded.pop();
+        self.history.sent -= 1;
+        self.history.unsent += 1;
+        if self.history.sent > 0 {
+            self.shared.retry_budget.borrow_mut().give_back(self.shared.now(), &self.profile.service);
         }
-        AttemptEnd::NotSent
+        AttemptResult::NotSent
     }
 
-    fn may_have_run(&mut self, attempt: OutstandingAttempt, outcome: AttemptOutcome) -> AttemptEnd {
-        self.trail.may_have_run = true;
+    fn record_possible_run(&mut self, attempt: OutstandingAttempt, outcome: AttemptOutcome) -> AttemptResult {
+        self.history.may_have_run = true;
         attempt.finish(outcome);
-        AttemptEnd::MayHaveRun
+        AttemptResult::MayHaveRun
     }
 
-    async fn wait_for_head(&mut self, worker: WorkerKey, lease: &mut Lease, resume: ResumePoint) -> Sent {
+    async fn send_and_await_head(
+        &mut self,
+        worker: WorkerKey,
+        lease: &mut Lease,
+        resume: ResumePoint,
+    ) -> SendResult {
         let worker_id = self.shared.router.borrow().worker(worker).map(|view| view.id.clone());
         let worker_id = worker_id.unwrap_or_default();
         self.timeline.sent(Instant::now(), &worker_id);
@@ -164,50 +173,50 @@
             expect_version: resume.expect_version,
         };
         let request = self.request.for_worker(&fields);
-        let elsewhere_after_silence = async {
-            self.shared.silent.wait_for(worker).await;
-            if !self.could_repeat_elsewhere() {
+        let stalled_with_alternative = async {
+            self.shared.stalled_workers.wait_for(worker).await;
+            if !self.may_retry_elsewhere() {
                 std::future::pending::<()>().await;
             }
         };
         tokio::select! {
             biased;
             sent = lease.connection().send(request) => match sent {
-                Ok(answer) => Sent::Answer(answer),
-                Err(failure) => Sent::Failed(failure),
+                Ok(response) => SendResult::Response(response),
+                Err(failure) => SendResult::Failed(failure),
             },
-            () = elsewhere_after_silence => Sent::WorkerSilent,
-            () = tokio::time::sleep_until(self.deadline) => Sent::DeadlinePassed,
+            () = stalled_with_alternative => SendResult::WorkerStalled,
+            () = tokio::time::sleep_until(self.deadline) => SendResult::DeadlineExceeded,
         }
     }
 
-    async fn judge_answer(&mut self, answer: WorkerAnswer) -> AttemptEnd {
-        match judge(&answer.head, self.request_id.as_ref()) {
-            Verdict::Deliver => AttemptEnd::Answered(Box::new(answer)),
-            Verdict::NotRun(status) => {
-                self.entry.did_not_run();
-                self.refused(answer, status).await;
-                AttemptEnd::NotRun(status)
+    async fn classify_response(&mut self, response: WorkerAnswer) -> AttemptResult {
+        match classify(&response.head, self.request_id.as_ref()) {
+            ResponseClass::Forward => AttemptResult::Responded(Box::new(response)),
+            ResponseClass::NotRun(status) => {
+                self.running_entry.record_not_run();
+                self.handle_refusal(response, status).await;
+                AttemptResult::NotRun(status)
             }
-            Verdict::MayHaveRun => {
-                self.trail.may_have_run = true;
-                answer.abandon(AttemptOutcome::Broken);
-                AttemptEnd::MayHaveRun
+            ResponseClass::MayHaveRun => {
+                self.history.may_have_run = true;
+                response.abandon(AttemptOutcome::Broken);
+                AttemptResult::MayHaveRun
             }
         }
     }
 
     /// Notes a refusal. Its connection is kept if its body, which is short, is there.
-    async fn refused(&self, mut answer: WorkerAnswer, status: StatusCode) {
+    async fn handle_refusal(&self, mut response: WorkerAnswer, status: StatusCode) {
         if status == StatusCode::MISDIRECTED_REQUEST {
-            let worker = answer.attempt.worker();
+            let worker = response.attempt.worker();
             self.shared.router.borrow_mut().missing_model(self.shared.now(), worker, &self.profile);
         }
         let outcome = AttemptOutcome::NotExecuted(status.as_u16());
-        let body = answer.read_start(policy::MAX_BUFFERED_RESPONSE_BYTES);
+        let body = response.read_start(policy::MAX_BUFFERED_RESPONSE_BYTES);
         match tokio::time::timeout(policy::REFUSAL_BODY_TIMEOUT, body).await {
-            Ok(BodyStart::Whole(_)) => answer.complete(outcome),
-            _ => answer.abandon(outcome),
+            Ok(BodyStart::Whole(_)) => response.complete(outcome),
+            _ => response.abandon(outcome),
         }
     }
 }
--- a/src/data_plane/delivery.rs
+++ b/src/data_plane/delivery.rs
@@ -1,7 +1,7 @@
-//! From a request to the answer its client gets.
+//! From a request to the response its client gets.
 
 use super::answer_body::AnswerBody;
-use super::attempt::{AttemptEnd, ResumePoint};
+use super::attempt::{AttemptResult, ResumePoint};
 use super::connection_headers::remove_connection_headers;
 use super::exchange::Exchange;
 use super::invariants::Invariant;
@@ -17,113 +17,116 @@
 use hyper::{Method, Response, StatusCode};
 use switchhill_routing::AttemptOutcome;
 
-/// What became of an answer that was to be passed on.
-enum Delivery {
-    Passed(Response<AnswerBody>),
+/// What became of an response that was to be passed on.
+enum ForwardResult {
+    Started(Response<AnswerBody>),
     Broken(Box<Exchange>),
     TimedOut(Box<Exchange>),
 }
 
 /// Answers a request: sends it to workers until one answers or it is given up.
-pub(crate) async fn answer(mut exchange: Exchange) -> Response<AnswerBody> {
+pub(crate) async fn handle_request(mut exchange: Exchange) -> Response<AnswerBody> {
     loop {
-        let worker = match exchange.next_worker().await {
+        let worker = match exchange.select_worker().await {
             Ok(worker) => worker,
-            Err(reply) => return answer_itself(&mut exchange, reply),
+            Err(reply) => return local_response(&mut exchange, reply),
         };
         match exchange.attempt(worker, ResumePoint::default()).await {
-            AttemptEnd::Answered(answer) => match deliver(exchange, *answer).await {
-                Delivery::Passed(answer) => return answer,
-                Delivery::TimedOut(mut exchange) => {
-                    return answer_itself(&mut exchange, LocalReply::TimedOut);
+            AttemptResult::Responded(response) => match forward(exchange, *response).await {
+                ForwardResult::Started(response) => return response,
+                ForwardResult::TimedOut(mut exchange) => {
+                    return local_response(&mut exchange, LocalReply::TimedOut);
                 }
-                Delivery::Broken(returned) => exchange = *returned,
+                ForwardResult::Broken(returned) => exchange = *returned,
             },
-            AttemptEnd::NotRun(StatusCode::BAD_REQUEST) if exchange.request_id.is_none() => {
-                return answer_itself(&mut exchange, LocalReply::BadRequest);
+            AttemptResult::NotRun(StatusCode::BAD_REQUEST) if exchange.request_id.is_none() => {
+                return local_response(&mut exchange, LocalReply::BadRequest);
             }
-            AttemptEnd::TimedOut => return answer_itself(&mut exchange, LocalReply::TimedOut),
-            AttemptEnd::OutOfBudget => return give_up(&mut exchange),
-            AttemptEnd::NotSent | AttemptEnd::NotRun(_) | AttemptEnd::MayHaveRun => {}
+            AttemptResult::TimedOut => return local_response(&mut exchange, LocalReply::TimedOut),
+            AttemptResult::RetryBudgetExhausted => return refuse(&mut exchange),
+            AttemptResult::NotSent | AttemptResult::NotRun(_) | AttemptResult::MayHaveRun => {}
         }
-        if !exchange.may_try_again() {
-            return give_up(&mut exchange);
+        if !exchange.may_retry() {
+            return refuse(&mut exchange);
         }
     }
 }
 
-fn give_up(exchange: &mut Exchange) -> Response<AnswerBody> {
-    let reply = exchange.give_up();
-    answer_itself(exchange, reply)
+fn refuse(exchange: &mut Exchange) -> Response<AnswerBody> {
+    let reply = exchange.refuse();
+    local_response(exchange, reply)
 }
 
-/// The gatekeeper's own answer to a request.
-fn answer_itself(exchange: &mut Exchange, reply: LocalReply) -> Response<AnswerBody> {
+/// The gatekeeper's own response to a request.
+fn local_response(exchange: &mut Exchange, reply: LocalReply) -> Response<AnswerBody> {
     let promises_not_run = matches!(reply, LocalReply::NotRun { .. });
-    if promises_not_run && exchange.entry.may_have_run() {
-        exchange.shared.violations.report(Invariant::PromiseIsKept, &format!("{:?}", exchange.request_id));
+    if promises_not_run && exchange.running_entry.may_have_run() {
+        exchange
+            .shared
+            .violations
+            .report(Invariant::NotRunReplyIsTrue, &format!("{:?}", exchange.request_id));
     }
     exchange.timeline.end = RequestEnd::Own(reply);
-    reply.answer(exchange.request_id.as_ref())
+    reply.response(exchange.request_id.as_ref())
 }
 
-async fn deliver(exchange: Exchange, answer: WorkerAnswer) -> Delivery {
-    match answer.is_event_stream() && exchange.request.method() != Method::HEAD {
-        true => Delivery::Passed(deliver_stream(exchange, answer)),
-        false => deliver_plain(exchange, answer).await,
+async fn forward(exchange: Exchange, response: WorkerAnswer) -> ForwardResult {
+    match response.is_event_stream() && exchange.request.method() != Method::HEAD {
+        true => ForwardResult::Started(forward_stream(exchange, response)),
+        false => forward_plain(exchange, response).await,
     }
 }
 
-fn deliver_stream(exchange: Exchange, answer: WorkerAnswer) -> Response<AnswerBody> {
-    let mut head = client_head(&answer.head);
+fn forward_stream(exchange: Exchange, response: WorkerAnswer) -> Response<AnswerBody> {
+    let mut head = client_response_head(&response.head);
     // The rest may come from another worker, so its length is open.
     head.headers.remove(CONTENT_LENGTH);
-    Response::from_parts(head, AnswerBody::pulled(StreamAnswer::new(exchange, answer), None))
+    Response::from_parts(head, AnswerBody::pulled(StreamAnswer::new(exchange, response), None))
 }
 
-async fn deliver_plain(mut exchange: Exchange, mut answer: WorkerAnswer) -> Delivery {
-    answer.attempt.first_byte();
-    exchange.first_byte();
+async fn forward_plain(mut exchange: Exchange, mut response: WorkerAnswer) -> ForwardResult {
+    response.attempt.first_byte();
+    exchange.record_response_data();
     let start = tokio::select! {
-        start = answer.read_start(policy::MAX_BUFFERED_RESPONSE_BYTES) => start,
+        start = response.read_start(policy::MAX_BUFFERED_RESPONSE_BYTES) => start,
         () = tokio::time::sleep_until(exchange.deadline) => {
-            answer.abandon(AttemptOutcome::TimedOut);
-            return Delivery::TimedOut(Box::new(exchange));
+            response.abandon(AttemptOutcome::TimedOut);
+            return ForwardResult::TimedOut(Box::new(exchange));
         }
     };
     match start {
-        BodyStart::Whole(body) => Delivery::Passed(deliver_whole(&mut exchange, answer, body)),
-        BodyStart::Longer(start) => Delivery::Passed(deliver_long(exchange, answer, start)),
+        BodyStart::Whole(body) => ForwardResult::Started(forward_buffered(&mut exchange, response, body)),
+        BodyStart::Longer(start) => ForwardResult::Started(forward_unbuffered(exchange, response, start)),
         BodyStart::Broken => {
-            exchange.trail.may_have_run = true;
-            answer.abandon(AttemptOutcome::Broken);
-            Delivery::Broken(Box::new(exchange))
+            exchange.history.may_have_run = true;
+            response.abandon(AttemptOutcome::Broken);
+            ForwardResult::Broken(Box::new(exchange))
         }
     }
 }
 
-fn deliver_whole(exchange: &mut Exchange, answer: WorkerAnswer, body: Bytes) -> Response<AnswerBody> {
-    let mut head = client_head(&answer.head);
+fn forward_buffered(exchange: &mut Exchange, response: WorkerAnswer, body: Bytes) -> Response<AnswerBody> {
+    let mut head = client_response_head(&response.head);
     let has_body = exchange.request.method() != Method::HEAD
         && !matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     if has_body {
         head.headers.insert(CONTENT_LENGTH, HeaderValue::from(body.len()));
     }
-    let outcome = answer.outcome();
-    answer.complete(outcome);
+    let outcome = response.outcome();
+    response.complete(outcome);
     exchange.timeline.end = RequestEnd::Answered;
     Response::from_parts(head, AnswerBody::whole(body))
 }
 
-fn deliver_long(exchange: Exchange, answer: WorkerAnswer, start: Bytes) -> Response<AnswerBody> {
-    let head = client_head(&answer.head);
+fn forward_unbuffered(exchange: Exchange, response: WorkerAnswer, start: Bytes) -> Response<AnswerBody> {
+    let head = client_response_head(&response.head);
     let length = head.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse().ok());
-    Response::from_parts(head, AnswerBody::pulled(PipedAnswer::new(exchange, answer, start), length))
+    Response::from_parts(head, AnswerBody::pulled(PipedAnswer::new(exchange, response, start), length))
 }
 
 /// The head as the client gets it.
-fn client_head(answer: &Parts) -> Parts {
-    let mut head = answer.clone();
+fn client_response_head(response: &Parts) -> Parts {
+    let mut head = response.clone();
     head.extensions.clear();
     head.version = hyper::Version::HTTP_11;
     remove_connection_headers(&mut head.headers);
--- a/src/data_plane/exchange.rs
+++ b/src/data_plane/exchange.rs
@@ -25,14 +25,14 @@
     /// A broken stream may be taken up at another worker.
     pub(crate) resumable: bool,
     /// Workers to which the request may be sent.
-    pub(crate) most_workers: u32,
-    pub(crate) aim: Duration,
+    pub(crate) max_workers: u32,
+    pub(crate) target_latency: Duration,
     pub(crate) priority: u8,
 }
 
 /// What has been tried for a request.
 #[derive(Debug, Default)]
-pub(crate) struct Trail {
+pub(crate) struct AttemptHistory {
     /// Times it was sent to a worker.
     pub(crate) sent: u32,
     /// Attempts that ended before anything was sent.
@@ -54,8 +54,8 @@
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
     pub(crate) admitted: Option<AdmittedRequest>,
-    pub(crate) trail: Trail,
-    pub(crate) entry: RunningEntry,
+    pub(crate) history: AttemptHistory,
+    pub(crate) running_entry: RunningEntry,
     pub(crate) timeline: Timeline,
     pub(crate) _running: Counted,
     pub(crate) _running_demand: RunningDemand,
@@ -68,8 +68,8 @@
         RouteRules {
             idempotent: route.kind == RouteKind::Safe || resumable,
             resumable,
-            most_workers: route.retries.max(1),
-            aim: Duration::from_millis(route.target_latency_ms),
+            max_workers: route.retries.max(1),
+            target_latency: Duration::from_millis(route.target_latency_ms),
             priority: u8::try_from(route.priority).unwrap_or(u8::MAX),
         }
     }
@@ -82,26 +82,26 @@
 }
 
 /// The service for one request of the route. Requests of one session get the same one.
-pub(crate) fn service_of(route: &Route, head: &RequestHead) -> String {
-    let draw = session_of(route, head).map_or_else(|| fastrand::u64(..), spread);
-    route.pick_service(draw).to_owned()
+pub(crate) fn select_service(route: &Route, head: &RequestHead) -> String {
+    let key = session_id(route, head).map_or_else(|| fastrand::u64(..), mix64);
+    route.pick_service(key).to_owned()
 }
 
 /// The session is named by the last part of the prompt.
-pub(crate) fn session_of(route: &Route, head: &RequestHead) -> Option<u64> {
+pub(crate) fn session_id(route: &Route, head: &RequestHead) -> Option<u64> {
     let last = head.prompt_parts.last()?;
     route.session_affinity.then_some(last.id)
 }
 
 /// Spreads ids evenly over all 64-bit numbers (the finaliser of SplitMix64).
-fn spread(id: u64) -> u64 {
+fn mix64(id: u64) -> u64 {
     let id = (id ^ (id >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let id = (id ^ (id >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     id ^ (id >> 31)
 }
 
 /// What the router needs to know of the request.
-pub(crate) fn profile_of(route: &Route, head: &RequestHead, service: String) -> RequestProfile {
+pub(crate) fn request_profile(route: &Route, head: &RequestHead, service: String) -> RequestProfile {
     let name = head.model.clone();
     let (model, adapter) = name.map_or((None, None), |name| (Some(name.model), name.adapter));
     RequestProfile {
@@ -113,7 +113,7 @@
         output_tokens: head.output_tokens,
         priority: u8::try_from(route.priority).unwrap_or(u8::MAX),
         aim_ms: route.target_latency_ms,
-        session: session_of(route, head),
+        session: session_id(route, head),
     }
 }
 
@@ -124,35 +124,36 @@
     }
 
     /// Notes that the answer has begun or goes on.
-    pub(crate) fn first_byte(&mut self) {
+    pub(crate) fn record_response_data(&mut self) {
         if let Some(admitted) = &mut self.admitted {
-            admitted.first_byte(self.shared.now());
+            admitted.record_first_byte(self.shared.now());
         }
         self.timeline.piece(Instant::now());
     }
 
     /// Whether another attempt is allowed after those made; the budget is asked when it is sent.
-    pub(crate) fn may_try_again(&self) -> bool {
-        let repeatable = self.rules.idempotent || !self.trail.may_have_run;
-        repeatable
-            && self.trail.sent < self.rules.most_workers
-            && self.trail.unsent < policy::MAX_UNSENT_ATTEMPTS
+    pub(crate) fn may_retry(&self) -> bool {
+        let may_repeat = self.rules.idempotent || !self.history.may_have_run;
+        may_repeat
+            && self.history.sent < self.rules.max_workers
+            && self.history.unsent < policy::MAX_UNSENT_ATTEMPTS
             && !self.time_left().is_zero()
-            && self.ends_before_process()
+            && self.ends_before_shutdown()
     }
 
     /// Whether the request may be sent once more and a worker other than those tried would take it.
-    pub(crate) fn could_repeat_elsewhere(&self) -> bool {
-        let allowed =
-            self.rules.idempotent && self.trail.sent < self.rules.most_workers && self.ends_before_process();
-        let in_budget =
-            || self.shared.budget.borrow_mut().may_repeat(self.shared.now(), &self.profile.service);
-        allowed && in_budget() && matches!(self.choose(), Choice::Send(_))
+    pub(crate) fn may_retry_elsewhere(&self) -> bool {
+        let allowed = self.rules.idempotent
+            && self.history.sent < self.rules.max_workers
+            && self.ends_before_shutdown();
+        let within_budget =
+            || self.shared.retry_budget.borrow_mut().may_repeat(self.shared.now(), &self.profile.service);
+        allowed && within_budget() && matches!(self.choose_worker(), Choice::Send(_))
     }
 
     /// The answer of a request whose time is over.
-    pub(crate) fn time_over(&self) -> LocalReply {
-        match self.trail.may_have_run {
+    pub(crate) fn deadline_reply(&self) -> LocalReply {
+        match self.history.may_have_run {
             true => LocalReply::TimedOut,
             false => LocalReply::NotRun { retry_after_ms: policy::RETRY_AFTER_REFUSED_MS },
         }
--- a/src/data_plane/expected_loads.rs
+++ b/src/data_plane/expected_loads.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// Difference from what was told before that is worth telling again, in milliseconds.
-const NOTABLE_CHANGE_MS: u64 = 100;
+const SIGNIFICANT_CHANGE_MS: u64 = 100;
 
 /// A model of a service, or an adapter of it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -33,15 +33,15 @@
     /// Whether what the placer says now differs notably from what it said before.
     pub fn differs_significantly(&self, key: &ModelKey, ready_at: Option<u64>) -> bool {
         match (self.ready_at(key), ready_at) {
-            (Some(known), Some(told)) => known.abs_diff(told) > NOTABLE_CHANGE_MS,
-            (known, told) => known != told,
+            (Some(known), Some(new)) => known.abs_diff(new) > SIGNIFICANT_CHANGE_MS,
+            (known, new) => known != new,
         }
     }
 
     /// Notes what the placer says.
     pub fn set(&mut self, key: Arc<ModelKey>, ready_at: Option<u64>) {
         match ready_at {
-            Some(told) => self.ready_at.insert(key, told),
+            Some(time) => self.ready_at.insert(key, time),
             None => self.ready_at.remove(&key),
         };
     }
--- a/src/data_plane/expected_loads/tests.rs
+++ b/src/data_plane/expected_loads/tests.rs
@@ -11,26 +11,26 @@
     Arc::new(ModelKey { service, model, adapter: None })
 }
 
-/// A table is copied for each expectation that comes while the data plane holds the former one, on every gatekeeper of
+/// A table is copied for each expectation that comes while the data plane holds the previous one, on every gatekeeper of
 /// the fleet. A profile of a busy day showed a fifth of a gatekeeper's processor time in copies of the names.
 #[gtest]
-fn a_copy_that_is_changed_shares_all_names_with_the_table_it_was_made_of() {
+fn a_modified_copy_shares_its_keys_with_the_original() {
     let keys: Vec<Arc<ModelKey>> = (0..MODELS).map(key).collect();
     let mut first = ExpectedLoads::default();
     for key in &keys {
         first.set(key.clone(), Some(1_000));
     }
     let mut held = Arc::new(first);
-    let former = held.clone();
+    let previous = held.clone();
     Arc::make_mut(&mut held).set(key(0), Some(2_000));
     // One is held by this test, one by each table.
     let owners = keys.iter().map(Arc::strong_count).collect::<Vec<usize>>();
     expect_that!(owners, each(eq(&3)));
-    expect_that!((former.ready_at(&keys[0]), held.ready_at(&keys[0])), eq((Some(1_000), Some(2_000))));
+    expect_that!((previous.ready_at(&keys[0]), held.ready_at(&keys[0])), eq((Some(1_000), Some(2_000))));
 }
 
 #[gtest]
-fn what_should_have_stood_long_ago_is_forgotten() {
+fn expired_entries_are_removed() {
     let mut expected = ExpectedLoads::default();
     expected.set(key(1), Some(1_000));
     expected.set(key(2), Some(3_000));
--- a/src/data_plane/ingress.rs
+++ b/src/data_plane/ingress.rs
@@ -4,7 +4,7 @@
 use super::connector;
 use super::counted::Counted;
 use super::delivery;
-use super::exchange::{deadline, profile_of, service_of, Exchange, RouteRules, Trail};
+use super::exchange::{deadline, request_profile, select_service, AttemptHistory, Exchange, RouteRules};
 use super::forwarded_request::ForwardedRequest;
 use super::policy;
 use super::replies::LocalReply;
@@ -126,15 +126,15 @@
     let read = tokio::time::timeout_at(arrived + time, read_body(shared, body)).await;
     let read = read.unwrap_or(Err(LocalReply::NotRun { retry_after_ms: policy::RETRY_AFTER_REFUSED_MS }));
     if read.is_ok() {
-        shared.first_document(arrived + policy::MAX_CONFIGURATION_WAIT.min(time / 4)).await;
+        shared.wait_for_configuration(arrived + policy::MAX_CONFIGURATION_WAIT.min(time / 4)).await;
     }
     let admitted = read.and_then(|body| {
         let route = find_route(shared, &head)?;
         admit(shared, &route, &head, ForwardedRequest::new(parts, body), arrived, running)
     });
     match admitted {
-        Ok(exchange) => delivery::answer(exchange).await,
-        Err(reply) => reply.answer(request_id.as_ref()),
+        Ok(exchange) => delivery::handle_request(exchange).await,
+        Err(reply) => reply.response(request_id.as_ref()),
     }
 }
 
@@ -175,21 +175,21 @@
     arrived: Instant,
     running: Counted,
 ) -> Result<Exchange, LocalReply> {
-    let profile = profile_of(route, head, service_of(route, head));
+    let profile = request_profile(route, head, select_service(route, head));
     let now = shared.now();
     let deadline = deadline(arrived, head, route);
-    shared.budget.borrow_mut().request(now, &profile.service);
+    shared.retry_budget.borrow_mut().request(now, &profile.service);
     let running_demand = shared.statistics.borrow_mut().arrived(&route.name, &profile);
     let time_left = deadline.saturating_duration_since(Instant::now());
     let time_left_ms = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX);
-    let admitted = shared.admission.arrived(now, &route.name, &profile, time_left_ms);
+    let admitted = shared.admission.admit(now, &route.name, &profile, time_left_ms);
     let admitted = admitted.map_err(|retry_after_ms| {
         shared.statistics.borrow_mut().refusals.by_price += 1;
         LocalReply::NotRun { retry_after_ms }
     })?;
     shared.statistics.borrow_mut().admitted(&route.name);
-    shared.note_time_limit(deadline.saturating_duration_since(arrived));
-    let entry = shared.running_requests.add(&route.name, head.request_id.clone(), arrived);
+    shared.record_time_limit(deadline.saturating_duration_since(arrived));
+    let running_entry = shared.running_requests.add(&route.name, head.request_id.clone(), arrived);
     Ok(Exchange {
         shared: shared.clone(),
         rules: RouteRules::of(route),
@@ -200,8 +200,8 @@
         arrived,
         deadline,
         admitted: Some(admitted),
-        trail: Trail::default(),
-        entry,
+        history: AttemptHistory::default(),
+        running_entry,
         timeline: Timeline::of(route),
         _running: running,
         _running_demand: running_demand,
--- a/src/data_plane/interleavings.rs
+++ b/src/data_plane/interleavings.rs
@@ -7,7 +7,7 @@
 use super::server::take_views;
 use super::shared::Shared;
 use super::shutdown::{Phase, ShutdownHandle};
-use super::silence::SilentWorkers;
+use super::silence::StalledWorkers;
 use super::view::View;
 use crate::site_settings::SiteSettings;
 use shuttle::future::{block_on, spawn_local, yield_now};
@@ -69,12 +69,12 @@
 async fn views_are_handed_over() {
     let (views, received) = watch::channel(view(Availability::Ready, 1));
     let shared = shared();
-    shared.take_view(received.borrow().clone());
+    shared.apply_view(received.borrow().clone());
     let worker = key(&shared);
     let taking = spawn_local(take_views(shared.clone(), received));
     let waiting = {
         let shared = shared.clone();
-        spawn_local(async move { shared.worker_leaves(worker).await })
+        spawn_local(async move { shared.worker_becomes_unavailable(worker).await })
     };
     yield_now().await;
     views.send_replace(view(Availability::Ready, 2));
@@ -95,8 +95,8 @@
 /// Two attempts wait for their workers to fall silent, while sets of silent workers come.
 async fn silence_is_heard_of() {
     let shared = shared();
-    shared.take_view(view(Availability::Ready, 1));
-    let (worker, silent) = (key(&shared), Rc::new(SilentWorkers::default()));
+    shared.apply_view(view(Availability::Ready, 1));
+    let (worker, silent) = (key(&shared), Rc::new(StalledWorkers::default()));
     let waiting: Vec<_> = (0..2)
         .map(|_| {
             let silent = silent.clone();
--- a/src/data_plane/invariants.rs
+++ b/src/data_plane/invariants.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Invariant {
     /// No request that was sent to a worker after the process was told to end is cut by that end.
-    TakenLateIsNotCut,
+    DrainedRequestIsNotAborted,
     /// No request is refused with a promise that it has not run once a worker may have run it.
-    PromiseIsKept,
+    NotRunReplyIsTrue,
 }
 
 /// Violations counted so far.
--- a/src/data_plane/missing.rs
+++ b/src/data_plane/missing.rs
@@ -9,16 +9,16 @@
 use switchhill_routing::RequestProfile;
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct WaitingRequests {
     requests: u32,
-    aim_ms: u64,
-    told_at: Option<u64>,
+    target_latency_ms: u64,
+    reported_at: Option<u64>,
 }
 
 /// How many requests wait for each model.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct MissingModels {
-    waiting: Rc<RefCell<HashMap<ModelKey, Waiting>>>,
+    waiting: Rc<RefCell<HashMap<ModelKey, WaitingRequests>>>,
 }
 
 /// One waiting request; dropped when it goes on or gives up.
@@ -30,20 +30,21 @@
 
 impl MissingModels {
     /// Counts a request; nothing to wait for if it names no model.
-    pub(crate) fn begin(&self, profile: &RequestProfile) -> Option<WaitingRequest> {
+    pub(crate) fn register(&self, profile: &RequestProfile) -> Option<WaitingRequest> {
         let key = model_key(profile)?;
         let mut waiting = self.waiting.borrow_mut();
         let entry = waiting.entry(key.clone()).or_default();
-        entry.aim_ms = if entry.requests == 0 { profile.aim_ms } else { entry.aim_ms.min(profile.aim_ms) };
+        entry.target_latency_ms =
+            if entry.requests == 0 { profile.aim_ms } else { entry.target_latency_ms.min(profile.aim_ms) };
         entry.requests += 1;
         drop(waiting);
         Some(WaitingRequest { models: self.clone(), key })
     }
 
     /// Forgets models that nobody has waited for lately.
-    pub(crate) fn forget_old(&self, now: u64) {
-        let is_recent = |waiting: &Waiting| {
-            waiting.told_at.is_some_and(|told| now.saturating_sub(told) < policy::MISSING_REPORT_INTERVAL_MS)
+    pub(crate) fn remove_stale(&self, now: u64) {
+        let is_recent = |waiting: &WaitingRequests| {
+            waiting.reported_at.is_some_and(|at| now.saturating_sub(at) < policy::MISSING_REPORT_INTERVAL_MS)
         };
         self.waiting.borrow_mut().retain(|_, waiting| waiting.requests > 0 || is_recent(waiting));
     }
@@ -57,19 +58,19 @@
 
 impl WaitingRequest {
     /// The report of the model, if it is due.
-    pub(crate) fn report(&self, now: u64) -> Option<Feedback> {
+    pub(crate) fn take_report(&self, now: u64) -> Option<Feedback> {
         let mut all = self.models.waiting.borrow_mut();
         let waiting = all.get_mut(&self.key)?;
-        if waiting.told_at.is_some_and(|told| now.saturating_sub(told) < policy::MISSING_REPORT_INTERVAL_MS) {
+        if waiting.reported_at.is_some_and(|at| now.saturating_sub(at) < policy::MISSING_REPORT_INTERVAL_MS) {
             return None;
         }
-        waiting.told_at = Some(now);
+        waiting.reported_at = Some(now);
         Some(Feedback::Missing {
             service: self.key.service.clone(),
             model: self.key.model.clone(),
             adapter: self.key.adapter.clone(),
             waiting: waiting.requests,
-            target_latency_ms: waiting.aim_ms,
+            target_latency_ms: waiting.target_latency_ms,
         })
     }
 }
--- a/src/data_plane/outstanding.rs
+++ b/src/data_plane/outstanding.rs
@@ -9,7 +9,7 @@
     shared: Rc<Shared>,
     key: AttemptKey,
     worker: WorkerKey,
-    ended: bool,
+    finished: bool,
 }
 
 impl OutstandingAttempt {
@@ -20,7 +20,7 @@
         profile: &RequestProfile,
     ) -> OutstandingAttempt {
         let key = shared.router.borrow_mut().sent(shared.now(), worker, profile);
-        OutstandingAttempt { shared: shared.clone(), key, worker, ended: false }
+        OutstandingAttempt { shared: shared.clone(), key, worker, finished: false }
     }
 
     /// The worker.
@@ -38,14 +38,14 @@
         self.shared.router.borrow_mut().progress(self.shared.now(), self.key);
     }
 
-    /// The attempt has ended.
+    /// The attempt has finished.
     pub(crate) fn finish(mut self, outcome: AttemptOutcome) {
         self.end(outcome);
     }
 
     fn end(&mut self, outcome: AttemptOutcome) {
-        if !self.ended {
-            self.ended = true;
+        if !self.finished {
+            self.finished = true;
             self.shared.router.borrow_mut().finished(self.shared.now(), self.key, outcome);
         }
     }
--- a/src/data_plane/pool.rs
+++ b/src/data_plane/pool.rs
@@ -14,23 +14,23 @@
 
 /// Why no connection could be had. Nothing was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum NoConnection {
+pub(crate) enum LeaseError {
     /// The worker's machine refused the connection.
     Refused,
     /// The address is not one, or the connection did not come up in time.
     ConnectFailed,
     /// All connections that this gatekeeper may hold to the worker are in use.
-    AllInUse,
+    PoolExhausted,
 }
 
 /// Connections of all workers.
 #[derive(Debug)]
 pub(crate) struct Pool {
-    workers: RefCell<HashMap<String, Rc<WorkerConnections>>>,
+    workers: RefCell<HashMap<String, Rc<WorkerPool>>>,
     /// Connections to all workers together.
     open: Rc<Cell<u32>>,
     /// Bound of `open`, from the descriptors of the process.
-    most_open: u32,
+    max_open: u32,
     connector: Rc<dyn Connector>,
 }
 
@@ -45,7 +45,7 @@
 
 /// Connections of one worker.
 #[derive(Debug)]
-struct WorkerConnections {
+struct WorkerPool {
     idle: RefCell<Vec<IdleConnection>>,
     count: Rc<ConnectionCount>,
 }
@@ -54,45 +54,45 @@
 #[derive(Debug)]
 struct ConnectionCount {
     open: Cell<u32>,
-    open_to_all: Rc<Cell<u32>>,
+    total_open: Rc<Cell<u32>>,
     /// Told when a connection comes to rest or closes.
     released: Notify,
 }
 
 /// The place of one connection in the count.
 #[derive(Debug)]
-struct Place(Rc<ConnectionCount>);
+struct ConnectionPermit(Rc<ConnectionCount>);
 
 /// A connection and its place, which is given back after the connection has closed.
 #[derive(Debug)]
 struct CountedConnection {
     connection: WorkerConnection,
-    _place: Place,
+    _permit: ConnectionPermit,
 }
 
 #[derive(Debug)]
 struct IdleConnection {
     counted: CountedConnection,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    expires_at: Instant,
 }
 
 /// A connection in use. Dropping it closes the connection.
 #[derive(Debug)]
 pub(crate) struct Lease {
     counted: CountedConnection,
-    home: Rc<WorkerConnections>,
+    pool: Rc<WorkerPool>,
 }
 
 impl Pool {
-    /// A pool without connections, of which at most `most_open` may be open.
-    pub(crate) fn new(most_open: u32) -> Pool {
-        Pool::over(Rc::new(TcpConnector), most_open)
+    /// A pool without connections, of which at most `max_open` may be open.
+    pub(crate) fn new(max_open: u32) -> Pool {
+        Pool::with_connector(Rc::new(TcpConnector), max_open)
     }
 
     /// The same over streams of another kind.
-    pub(crate) fn over(connector: Rc<dyn Connector>, most_open: u32) -> Pool {
-        Pool { workers: RefCell::default(), open: Rc::default(), most_open, connector }
+    pub(crate) fn with_connector(connector: Rc<dyn Connector>, max_open: u32) -> Pool {
+        Pool { workers: RefCell::default(), open: Rc::default(), max_open, connector }
     }
 
     /// A connection to a worker: one at rest, a new one while the limits allow it, or the next that comes
@@ -102,53 +102,55 @@
         worker_id: &str,
         address: &str,
         limits: LeaseLimits,
-    ) -> Result<Lease, NoConnection> {
-        let home = self.home(worker_id);
-        let give_up = Instant::now() + policy::MAX_CONNECTION_WAIT;
+    ) -> Result<Lease, LeaseError> {
+        let pool = self.pool(worker_id);
+        let wait_until = Instant::now() + policy::MAX_CONNECTION_WAIT;
         loop {
-            if let Some(counted) = home.take_idle() {
-                return Ok(Lease { counted, home });
+            if let Some(counted) = pool.take_idle() {
+                return Ok(Lease { counted, pool });
             }
-            if home.count.open.get() < limits.connections && self.has_room() {
+            if pool.count.open.get() < limits.connections && self.make_room() {
                 let connecting = self.connect(address);
-                let counted = CountedConnection::within(limits.connect, connecting, &home.count).await?;
-                return Ok(Lease { counted, home });
+                let counted =
+                    CountedConnection::connect_within(limits.connect, connecting, &pool.count).await?;
+                return Ok(Lease { counted, pool });
             }
-            let released = home.count.released.notified();
-            tokio::time::timeout_at(give_up, released).await.map_err(|_| NoConnection::AllInUse)?;
+            let released = pool.count.released.notified();
+            tokio::time::timeout_at(wait_until, released).await.map_err(|_| LeaseError::PoolExhausted)?;
         }
     }
 
-    async fn connect(&self, address: &str) -> Result<WorkerConnection, NoConnection> {
-        let address = address.parse().map_err(|_| NoConnection::ConnectFailed)?;
+    async fn connect(&self, address: &str) -> Result<WorkerConnection, LeaseError> {
+        let address = address.parse().map_err(|_| LeaseError::ConnectFailed)?;
         let stream = self.connector.connect(address).await.map_err(|error| match error.kind() {
-            ErrorKind::ConnectionRefused => NoConnection::Refused,
-            _ => NoConnection::ConnectFailed,
+            ErrorKind::ConnectionRefused => LeaseError::Refused,
+            _ => LeaseError::ConnectFailed,
         })?;
-        WorkerConnection::over(stream).await.map_err(|_| NoConnection::ConnectFailed)
+        WorkerConnection::over(stream).await.map_err(|_| LeaseError::ConnectFailed)
     }
 
     /// Closes the connections at rest to a worker one of whose connections has just failed, as they are likely dead too,
     /// and tries whether a new one comes up.
-    pub(crate) async fn check(
+    pub(crate) async fn probe(
         &self,
         worker_id: &str,
         address: &str,
         limits: LeaseLimits,
-    ) -> Result<(), NoConnection> {
-        let home = self.home(worker_id);
-        home.idle.borrow_mut().clear();
-        if home.count.open.get() >= limits.connections || !self.has_room() {
+    ) -> Result<(), LeaseError> {
+        let pool = self.pool(worker_id);
+        pool.idle.borrow_mut().clear();
+        if pool.count.open.get() >= limits.connections || !self.make_room() {
             return Ok(());
         }
-        let counted = CountedConnection::within(limits.connect, self.connect(address), &home.count).await?;
-        home.rest(counted, policy::PROBE_CONNECTION_IDLE_TIMEOUT);
+        let counted =
+            CountedConnection::connect_within(limits.connect, self.connect(address), &pool.count).await?;
+        pool.add_idle(counted, policy::PROBE_CONNECTION_IDLE_TIMEOUT);
         Ok(())
     }
 
     /// Whether a connection to the worker is at rest.
     pub(crate) fn has_idle(&self, worker_id: &str) -> bool {
-        self.workers.borrow().get(worker_id).is_some_and(|home| home.idle_since().is_some())
+        self.workers.borrow().get(worker_id).is_some_and(|pool| pool.idle_since().is_some())
     }
 
     /// Drops what is idle of workers that are not among these.
@@ -159,47 +161,47 @@
     /// Drops idle connections that are closed or that their workers are about to close.
     pub(crate) fn drop_expired(&self) {
         let now = Instant::now();
-        for home in self.workers.borrow().values() {
-            home.drop_expired(now);
+        for pool in self.workers.borrow().values() {
+            pool.drop_expired(now);
         }
     }
 
     /// Whether one more connection may be opened; the one that has rested longest makes room for it.
-    fn has_room(&self) -> bool {
-        if self.open.get() >= self.most_open {
+    fn make_room(&self) -> bool {
+        if self.open.get() >= self.max_open {
             self.close_longest_idle();
         }
-        self.open.get() < self.most_open
+        self.open.get() < self.max_open
     }
 
     fn close_longest_idle(&self) {
         let workers = self.workers.borrow();
-        let oldest = workers.values().filter_map(|home| home.idle_since().map(|since| (since, home)));
-        if let Some((_, home)) = oldest.min_by_key(|(since, _)| *since) {
-            home.idle.borrow_mut().remove(0);
+        let oldest = workers.values().filter_map(|pool| pool.idle_since().map(|since| (since, pool)));
+        if let Some((_, pool)) = oldest.min_by_key(|(since, _)| *since) {
+            pool.idle.borrow_mut().remove(0);
         }
     }
 
-    fn home(&self, worker_id: &str) -> Rc<WorkerConnections> {
+    fn pool(&self, worker_id: &str) -> Rc<WorkerPool> {
         let mut workers = self.workers.borrow_mut();
-        if let Some(home) = workers.get(worker_id) {
-            return home.clone();
+        if let Some(pool) = workers.get(worker_id) {
+            return pool.clone();
         }
-        let home = Rc::new(WorkerConnections::new(self.open.clone()));
-        workers.insert(worker_id.to_owned(), home.clone());
-        home
+        let pool = Rc::new(WorkerPool::new(self.open.clone()));
+        workers.insert(worker_id.to_owned(), pool.clone());
+        pool
     }
 }
 
-impl WorkerConnections {
-    fn new(open_to_all: Rc<Cell<u32>>) -> WorkerConnections {
-        let count = ConnectionCount { open: Cell::new(0), open_to_all, released: Notify::new() };
-        WorkerConnections { idle: RefCell::default(), count: Rc::new(count) }
+impl WorkerPool {
+    fn new(total_open: Rc<Cell<u32>>) -> WorkerPool {
+        let count = ConnectionCount { open: Cell::new(0), total_open, released: Notify::new() };
+        WorkerPool { idle: RefCell::default(), count: Rc::new(count) }
     }
 
     /// Since when the first of the idle connections has rested.
     fn idle_since(&self) -> Option<Instant> {
-        self.idle.borrow().first().map(|resting| resting.since)
+        self.idle.borrow().first().map(|idle| idle.idle_since)
     }
 
     /// The connection used last among those that have rested, or else the one that has rested longest.
@@ -207,59 +209,63 @@
         let now = Instant::now();
         self.drop_expired(now);
         let mut idle = self.idle.borrow_mut();
-        let place = idle.iter().rposition(|resting| resting.is_rested(now)).unwrap_or(0);
-        (place < idle.len()).then(|| idle.remove(place).counted)
+        let index = idle.iter().rposition(|idle| idle.is_settled(now)).unwrap_or(0);
+        (index < idle.len()).then(|| idle.remove(index).counted)
     }
 
     fn drop_expired(&self, now: Instant) {
-        self.idle.borrow_mut().retain(|resting| resting.is_usable(now));
+        self.idle.borrow_mut().retain(|idle| idle.is_usable(now));
     }
 
-    fn rest(&self, counted: CountedConnection, idle_for: Duration) {
-        let since = Instant::now();
-        self.idle.borrow_mut().push(IdleConnection { counted, since, until: since + idle_for });
+    fn add_idle(&self, counted: CountedConnection, idle_for: Duration) {
+        let idle_since = Instant::now();
+        self.idle.borrow_mut().push(IdleConnection {
+            counted,
+            idle_since,
+            expires_at: idle_since + idle_for,
+        });
         self.count.released.notify_one();
     }
 }
 
 impl IdleConnection {
     fn is_usable(&self, now: Instant) -> bool {
-        now < self.until && self.counted.connection.is_ready()
+        now < self.expires_at && self.counted.connection.is_ready()
     }
 
     /// Whether surplus bytes of the last answer would have shown by now.
-    fn is_rested(&self, now: Instant) -> bool {
-        now.duration_since(self.since) >= policy::CONNECTION_SETTLE_TIME
+    fn is_settled(&self, now: Instant) -> bool {
+        now.duration_since(self.idle_since) >= policy::CONNECTION_SETTLE_TIME
     }
 }
 
-impl Place {
-    fn take(count: &Rc<ConnectionCount>) -> Place {
+impl ConnectionPermit {
+    fn acquire(count: &Rc<ConnectionCount>) -> ConnectionPermit {
         count.open.set(count.open.get() + 1);
-        count.open_to_all.set(count.open_to_all.get() + 1);
-        Place(count.clone())
+        count.total_open.set(count.total_open.get() + 1);
+        ConnectionPermit(count.clone())
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
-        self.0.open_to_all.set(self.0.open_to_all.get() - 1);
+        self.0.total_open.set(self.0.total_open.get() - 1);
         self.0.released.notify_one();
     }
 }
 
 impl CountedConnection {
     /// A new connection, counted from the first attempt on.
-    async fn within(
+    async fn connect_within(
         limit: Duration,
-        connecting: impl Future<Output = Result<WorkerConnection, NoConnection>>,
+        connecting: impl Future<Output = Result<WorkerConnection, LeaseError>>,
         count: &Rc<ConnectionCount>,
-    ) -> Result<CountedConnection, NoConnection> {
-        let place = Place::take(count);
+    ) -> Result<CountedConnection, LeaseError> {
+        let permit = ConnectionPermit::acquire(count);
         let connected = tokio::time::timeout(limit, connecting).await;
-        let connection = connected.unwrap_or(Err(NoConnection::ConnectFailed))?;
-        Ok(CountedConnection { connection, _place: place })
+        let connection = connected.unwrap_or(Err(LeaseError::ConnectFailed))?;
+        Ok(CountedConnection { connection, _permit: permit })
     }
 }
 
@@ -270,23 +276,23 @@
     }
 
     /// Puts the connection to rest after a whole answer; `idle_for` is the time the worker keeps it.
-    pub(crate) fn keep(self, idle_for: Option<Duration>) {
+    pub(crate) fn return_to_pool(self, idle_for: Option<Duration>) {
         let idle_for = idle_for.unwrap_or(policy::DEFAULT_IDLE_TIMEOUT);
         let margin = policy::IDLE_CLOSE_MARGIN.min(idle_for.mul_f64(policy::IDLE_CLOSE_MARGIN_SHARE));
         let idle_for = idle_for - margin;
-        let Lease { mut counted, home } = self;
+        let Lease { mut counted, pool } = self;
         if counted.connection.is_ready() {
-            home.rest(counted, idle_for);
+            pool.add_idle(counted, idle_for);
             return;
         }
         if counted.connection.is_closed() {
             return;
         }
         tokio::task::spawn_local(async move {
-            let settled =
+            let ready =
                 tokio::time::timeout(policy::CONNECTION_SETTLE_TIME, counted.connection.ready()).await;
-            if let Ok(Ok(())) = settled {
-                home.rest(counted, idle_for);
+            if let Ok(Ok(())) = ready {
+                pool.add_idle(counted, idle_for);
             }
         });
     }
--- a/src/data_plane/reachability.rs
+++ b/src/data_plane/reachability.rs
@@ -3,7 +3,7 @@
 use super::exchange::Exchange;
 use super::feedback::Feedback;
 use super::policy;
-use super::pool::{LeaseLimits, NoConnection};
+use super::pool::{LeaseError, LeaseLimits};
 use super::shared::Shared;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 
 impl ReachabilityReports {
     /// Whether the worker is due for a report; if so it counts as made.
-    fn is_due(&self, now: u64, worker: &str) -> bool {
+    fn start_report(&self, now: u64, worker: &str) -> bool {
         let mut last = self.last.borrow_mut();
         last.retain(|_, at| now.saturating_sub(*at) < policy::UNREACHABLE_REPORT_INTERVAL_MS);
         if last.contains_key(worker) {
@@ -31,31 +31,31 @@
 
 impl Shared {
     /// Tells the agent that no connection to the worker came up, unless it has just been told.
-    pub(crate) fn report_unreachable(&self, worker: &str, reason: NoConnection) {
+    pub(crate) fn report_unreachable(&self, worker: &str, reason: LeaseError) {
         let refused = match reason {
-            NoConnection::Refused => true,
-            NoConnection::ConnectFailed => false,
-            NoConnection::AllInUse => return,
+            LeaseError::Refused => true,
+            LeaseError::ConnectFailed => false,
+            LeaseError::PoolExhausted => return,
         };
-        if self.reachability.is_due(self.now(), worker) {
-            self.tell(Feedback::Unreachable { worker: worker.to_owned(), refused });
+        if self.reachability.start_report(self.now(), worker) {
+            self.send_feedback(Feedback::Unreachable { worker: worker.to_owned(), refused });
         }
     }
 }
 
 impl Exchange {
     /// After a connection to the worker has failed: finds out beside this request whether it still takes any.
-    pub(crate) fn check_worker(&self, worker: WorkerKey) {
-        let place = self.worker_place(worker);
-        let Some((id, address)) = place else { return };
+    pub(crate) fn probe_worker(&self, worker: WorkerKey) {
+        let address = self.worker_address(worker);
+        let Some((id, address)) = address else { return };
         let limits = self.lease_limits();
         let shared = self.shared.clone();
-        tokio::task::spawn_local(check(shared, id, address, limits));
+        tokio::task::spawn_local(probe(shared, id, address, limits));
     }
 }
 
-async fn check(shared: Rc<Shared>, id: String, address: String, limits: LeaseLimits) {
-    if let Err(reason) = shared.pool.check(&id, &address, limits).await {
+async fn probe(shared: Rc<Shared>, id: String, address: String, limits: LeaseLimits) {
+    if let Err(reason) = shared.pool.probe(&id, &address, limits).await {
         shared.report_unreachable(&id, reason);
     }
 }
--- a/src/data_plane/readiness.rs
+++ b/src/data_plane/readiness.rs
@@ -16,20 +16,20 @@
 /// Path of the checks.
 const READY_PATH: &str = "/api/ready";
 /// Time after which a connection without a check is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Answers checks for as long as the process lives.
-pub(crate) async fn answer_checks(shared: Rc<Shared>, listener: TcpListener) {
+pub(crate) async fn serve_readiness_checks(shared: Rc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _peer)) => {
                 tokio::task::spawn_local(serve_connection(shared.clone(), stream));
             }
             Err(error) => {
-                log::warn!("accepting a readiness check: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!("failed to accept a readiness connection: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -37,24 +37,24 @@
 
 async fn serve_connection(shared: Rc<Shared>, stream: TcpStream) {
     let service = service_fn(|request: Request<_>| {
-        let answer = check(&shared, request.uri().path());
-        async move { Ok::<_, Infallible>(answer) }
+        let response = readiness_response(&shared, request.uri().path());
+        async move { Ok::<_, Infallible>(response) }
     });
     let mut settings = http1::Builder::new();
-    settings.timer(TokioTimer::new()).header_read_timeout(IDLE_LIMIT);
+    settings.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
     if let Err(error) = settings.serve_connection(TokioIo::new(stream), service).await {
-        log::debug!("connection of a readiness check: {error}");
+        log::debug!("readiness connection failed: {error}");
     }
 }
 
-fn check(shared: &Shared, path: &str) -> Response<AnswerBody> {
+fn readiness_response(shared: &Shared, path: &str) -> Response<AnswerBody> {
     let is_ready = shared.shutdown.phase() == Phase::Serving && shared.view().is_ready();
-    let mut answer = Response::new(AnswerBody::empty());
-    *answer.status_mut() = match (path, is_ready) {
+    let mut response = Response::new(AnswerBody::empty());
+    *response.status_mut() = match (path, is_ready) {
         (READY_PATH, true) => StatusCode::OK,
         (READY_PATH, false) => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::NOT_FOUND,
     };
-    answer.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(0));
-    answer
+    response.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(0));
+    response
 }
--- a/src/data_plane/replies.rs
+++ b/src/data_plane/replies.rs
@@ -21,7 +21,7 @@
         /// When to come back.
         retry_after_ms: u64,
     },
-    /// The request may have run, and its answer is lost.
+    /// The request may have run, and its response is lost.
     MayHaveRun,
     /// The request may have run or be running, and its time is over.
     TimedOut,
@@ -40,23 +40,23 @@
     }
 
     /// The answer to the request of this id.
-    pub(crate) fn answer(self, request_id: Option<&HeaderValue>) -> Response<AnswerBody> {
-        let mut answer = Response::new(AnswerBody::empty());
-        *answer.status_mut() = self.status();
-        let headers = answer.headers_mut();
+    pub(crate) fn response(self, request_id: Option<&HeaderValue>) -> Response<AnswerBody> {
+        let mut response = Response::new(AnswerBody::empty());
+        *response.status_mut() = self.status();
+        let headers = response.headers_mut();
         headers.insert(CONTENT_LENGTH, HeaderValue::from(0));
         if let Some(id) = request_id {
             headers.insert(REQUEST_ID, id.clone());
         }
         if let LocalReply::NotRun { retry_after_ms } = self {
-            headers.insert(RETRY_AFTER, seconds(retry_after_ms));
+            headers.insert(RETRY_AFTER, retry_after_value(retry_after_ms));
         }
-        answer
+        response
     }
 }
 
 /// Seconds with a fraction, as clients read them.
-fn seconds(milliseconds: u64) -> HeaderValue {
+fn retry_after_value(milliseconds: u64) -> HeaderValue {
     let text = format!("{}.{:03}", milliseconds / 1000, milliseconds % 1000);
     HeaderValue::try_from(text).unwrap_or(HeaderValue::from_static("1"))
 }
--- a/src/data_plane/request_log.rs
+++ b/src/data_plane/request_log.rs
@@ -3,7 +3,7 @@
 //! The line tells where the time went: the wait for a worker, the wait for the first byte, the longest pause of a
 //! stream. Lines are bounded by [`LineBudget`], so that a day on which everything is late costs no more than this.
 
-use super::exchange::{Exchange, Trail};
+use super::exchange::{AttemptHistory, Exchange};
 use super::replies::LocalReply;
 use std::cell::Cell;
 use std::fmt;
@@ -60,7 +60,7 @@
 struct Line<'a> {
     timeline: &'a Timeline,
     profile: &'a RequestProfile,
-    trail: &'a Trail,
+    trail: &'a AttemptHistory,
     arrived: Instant,
     now: Instant,
 }
@@ -175,7 +175,7 @@
         let line = Line {
             timeline: &self.timeline,
             profile: &self.profile,
-            trail: &self.trail,
+            trail: &self.history,
             arrived: self.arrived,
             now,
         };
--- a/src/data_plane/running_requests.rs
+++ b/src/data_plane/running_requests.rs
@@ -14,9 +14,9 @@
     /// `Request-Id` of the client, if there is one.
     pub(crate) request_id: Option<HeaderValue>,
     /// When its head was read.
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
     /// When it was last sent to a worker, if it was.
-    pub(crate) sent: Option<Instant>,
+    pub(crate) sent_at: Option<Instant>,
     /// Times it was sent to a worker that has not proved that it did not run it.
     pub(crate) possible_runs: u32,
 }
@@ -37,17 +37,27 @@
 
 impl RunningRequests {
     /// Adds a request that was sent to no worker yet.
-    pub(crate) fn add(&self, route: &str, request_id: Option<HeaderValue>, arrived: Instant) -> RunningEntry {
+    pub(crate) fn add(
+        &self,
+        route: &str,
+        request_id: Option<HeaderValue>,
+        arrived_at: Instant,
+    ) -> RunningEntry {
         let key = self.last_key.get() + 1;
         self.last_key.set(key);
-        let request =
-            RunningRequest { route: route.to_owned(), request_id, arrived, sent: None, possible_runs: 0 };
+        let request = RunningRequest {
+            route: route.to_owned(),
+            request_id,
+            arrived_at,
+            sent_at: None,
+            possible_runs: 0,
+        };
         self.table.borrow_mut().insert(key, request);
         RunningEntry { requests: self.clone(), key }
     }
 
     /// The requests as they stand, in the order in which they were added.
-    pub(crate) fn all(&self) -> Vec<RunningRequest> {
+    pub(crate) fn snapshot(&self) -> Vec<RunningRequest> {
         self.table.borrow().values().cloned().collect()
     }
 
@@ -59,15 +69,15 @@
 
 impl RunningEntry {
     /// Notes that the request is being sent to a worker.
-    pub(crate) fn sent(&self) {
+    pub(crate) fn record_send(&self) {
         self.update(|request| {
-            request.sent = Some(Instant::now());
+            request.sent_at = Some(Instant::now());
             request.possible_runs += 1;
         });
     }
 
     /// Notes a proof that the worker to which it was last sent did not run it.
-    pub(crate) fn did_not_run(&self) {
+    pub(crate) fn record_not_run(&self) {
         self.update(|request| request.possible_runs = request.possible_runs.saturating_sub(1));
     }
 
--- a/src/data_plane/server.rs
+++ b/src/data_plane/server.rs
@@ -78,7 +78,7 @@
         tasks.spawn_local(signals::reload_at_sighup(shared.clone()));
         tasks.spawn_local(ingress::accept(shared.clone(), self.http));
         if let Some(listener) = self.readiness {
-            tasks.spawn_local(readiness::answer_checks(shared.clone(), listener));
+            tasks.spawn_local(readiness::serve_readiness_checks(shared.clone(), listener));
         }
         shut_down(&shared).await;
         Ok(())
@@ -93,7 +93,7 @@
     let repeated: [RepeatedWork; 4] = [
         (policy::HOUSEKEEPING_INTERVAL, Shared::tick),
         (policy::SUMMARY_INTERVAL, Shared::summarize),
-        (policy::STALL_CHECK_INTERVAL, Shared::look_for_silence),
+        (policy::STALL_CHECK_INTERVAL, Shared::check_stalled_workers),
         (policy::REFUSAL_LOG_INTERVAL, Shared::log_refusals),
     ];
     for (every, work) in repeated {
@@ -116,7 +116,7 @@
 pub(super) async fn take_views(shared: Rc<Shared>, mut views: watch::Receiver<Arc<View>>) {
     loop {
         let view = views.borrow_and_update().clone();
-        shared.take_view(view);
+        shared.apply_view(view);
         if views.changed().await.is_err() {
             // The agent's side has gone: the newest view stays in force.
             return;
--- a/src/data_plane/shared.rs
+++ b/src/data_plane/shared.rs
@@ -13,7 +13,7 @@
 use super::request_log::LineBudget;
 use super::running_requests::RunningRequests;
 use super::shutdown::{Phase, ShutdownHandle, ShutdownTimes};
-use super::silence::SilentWorkers;
+use super::silence::StalledWorkers;
 use super::statistics::{Refusals, Statistics};
 use super::view::View;
 use crate::site_settings::{Bounds, SiteSettings};
@@ -30,16 +30,16 @@
 pub(crate) struct Shared {
     pub(crate) settings: RefCell<SiteSettings>,
     pub(crate) router: RefCell<Router>,
-    pub(crate) budget: RefCell<RetryBudget>,
+    pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) admission: Rc<AdmissionStage>,
     pub(crate) pool: Pool,
     pub(crate) statistics: RefCell<Statistics>,
-    pub(crate) missing: MissingModels,
-    pub(crate) silent: SilentWorkers,
+    pub(crate) missing_models: MissingModels,
+    pub(crate) stalled_workers: StalledWorkers,
     pub(crate) shutdown: ShutdownHandle,
     pub(crate) fitting_share: FittingShare,
     /// Times of the end, once the process has been told to end.
-    pub(crate) end_times: Cell<Option<ShutdownTimes>>,
+    pub(crate) fixed_shutdown_times: Cell<Option<ShutdownTimes>>,
     pub(crate) running_requests: RunningRequests,
     pub(crate) violations: Violations,
     pub(crate) line_budget: LineBudget,
@@ -47,7 +47,7 @@
     /// Told after the router has taken a new view.
     pub(crate) view_changed: Notify,
     /// Told after a view has come that tells of expected loads only, which all but held requests do without.
-    pub(crate) expected_changed: Notify,
+    pub(crate) expected_loads_changed: Notify,
     /// Requests whose heads have been read and whose answers are not complete.
     pub(crate) running: Rc<Cell<u32>>,
     /// Open connections of clients.
@@ -57,7 +57,7 @@
     pub(crate) descriptors: DescriptorShares,
     view: RefCell<Arc<View>>,
     feedback: UnboundedSender<Feedback>,
-    summary_at: Cell<u64>,
+    last_summary_at: Cell<u64>,
 }
 
 impl Shared {
@@ -70,29 +70,29 @@
         let descriptors = DescriptorShares::of(settings.limits.max_fds);
         Shared {
             router: RefCell::new(Router::new(router_settings(&settings), fastrand::u64(..))),
-            budget: RefCell::new(retry_budget(&settings)),
+            retry_budget: RefCell::new(retry_budget(&settings)),
             admission: Rc::new(AdmissionStage::new(settings.decisions.admission, fastrand::u64(..))),
             settings: RefCell::new(settings),
             pool: Pool::new(descriptors.workers),
             statistics: RefCell::default(),
-            missing: MissingModels::default(),
-            silent: SilentWorkers::default(),
+            missing_models: MissingModels::default(),
+            stalled_workers: StalledWorkers::default(),
             shutdown,
             fitting_share: FittingShare::default(),
-            end_times: Cell::default(),
+            fixed_shutdown_times: Cell::default(),
             running_requests: RunningRequests::default(),
             violations: Violations::default(),
             line_budget: LineBudget::default(),
             reachability: ReachabilityReports::default(),
             view_changed: Notify::new(),
-            expected_changed: Notify::new(),
+            expected_loads_changed: Notify::new(),
             running: Rc::default(),
             client_connections: Rc::default(),
             unwritten_connections: Rc::default(),
             descriptors,
             view: RefCell::default(),
             feedback,
-            summary_at: Cell::new(now_ms()),
+            last_summary_at: Cell::new(now_ms()),
         }
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Waits for a first configuration, no longer than told and not in a process that has been told to end.
-    pub(crate) async fn first_document(&self, until: Instant) {
+    pub(crate) async fn wait_for_configuration(&self, until: Instant) {
         let may_wait = || self.shutdown.phase() == Phase::Serving && Instant::now() < until;
         while self.document().is_none() && may_wait() {
             tokio::select! {
@@ -124,53 +124,53 @@
     }
 
     /// Takes a new view and wakes the requests that wait for one.
-    pub(crate) fn take_view(&self, view: Arc<View>) {
-        let is_same_state = view.shares_state_with(&self.view.borrow());
-        if is_same_state {
+    pub(crate) fn apply_view(&self, view: Arc<View>) {
+        let state_is_unchanged = view.shares_state_with(&self.view.borrow());
+        if state_is_unchanged {
             self.view.replace(view);
-            self.expected_changed.notify_waiters();
+            self.expected_loads_changed.notify_waiters();
         } else {
-            self.take_state(view);
+            self.apply_state(view);
             self.view_changed.notify_waiters();
         }
     }
 
-    fn take_state(&self, view: Arc<View>) {
+    fn apply_state(&self, view: Arc<View>) {
         let now = self.now();
-        self.take_document(now, &view);
-        let former = self.view.replace(view.clone());
-        self.take_workers(now, &view, &former);
+        self.apply_document(now, &view);
+        let previous = self.view.replace(view.clone());
+        self.apply_workers(now, &view, &previous);
         if view.gatekeepers > 0 {
             self.router.borrow_mut().set_gatekeepers(view.gatekeepers);
         }
-        self.budget.borrow_mut().set_gatekeepers(view.gatekeepers);
-        self.admission.set_view(now, &view, self.router.borrow().workers());
+        self.retry_budget.borrow_mut().set_gatekeepers(view.gatekeepers);
+        self.admission.apply_view(now, &view, self.router.borrow().workers());
     }
 
-    /// Takes the workers and loads in which a view differs from the former one.
-    fn take_workers(&self, now: u64, view: &View, former: &View) {
-        let same_workers = Arc::ptr_eq(&view.workers, &former.workers);
+    /// Takes the workers and loads in which a view differs from the previous one.
+    fn apply_workers(&self, now: u64, view: &View, previous: &View) {
+        let same_workers = Arc::ptr_eq(&view.workers, &previous.workers);
         let mut router = self.router.borrow_mut();
         if !same_workers {
             router.set_shared_workers(now, &view.workers);
-            let takes_requests = |state| matches!(state, Availability::Ready | Availability::Suspected);
-            let in_use = view.workers.iter().filter(|worker| takes_requests(worker.state));
+            let accepts_requests = |state| matches!(state, Availability::Ready | Availability::Suspected);
+            let in_use = view.workers.iter().filter(|worker| accepts_requests(worker.state));
             self.pool.retain(&in_use.map(|worker| worker.id.as_str()).collect());
         }
         if let Some(loads) = &view.loads {
-            if !same_workers || !view.shares_loads_with(former) {
+            if !same_workers || !view.shares_loads_with(previous) {
                 router.set_loads_elsewhere(loads.received_at, &loads.requests);
             }
         }
     }
 
-    fn take_document(&self, now: u64, view: &View) {
+    fn apply_document(&self, now: u64, view: &View) {
         let Some(document) = &view.document else { return };
-        let present = self.document();
-        if present.is_some_and(|present| present.revision() == document.revision()) {
+        let current = self.document();
+        if current.is_some_and(|current| current.revision() == document.revision()) {
             return;
         }
-        self.admission.set_document(now, document);
+        self.admission.set_routes(now, document);
         let mut router = self.router.borrow_mut();
         for service in document.services() {
             if let Some(engine) = &service.engine {
@@ -180,12 +180,12 @@
     }
 
     /// Takes settings that were read again.
-    pub(crate) fn take_settings(&self, settings: SiteSettings) {
+    pub(crate) fn apply_settings(&self, settings: SiteSettings) {
         if !same_budget(&self.settings.borrow().bounds, &settings.bounds) {
             // A new budget begins without slack, so repeats already made stay within the rule.
             let mut budget = retry_budget(&settings);
             budget.set_gatekeepers(self.view.borrow().gatekeepers);
-            *self.budget.borrow_mut() = budget;
+            *self.retry_budget.borrow_mut() = budget;
         }
         *self.settings.borrow_mut() = settings;
     }
@@ -196,7 +196,7 @@
     }
 
     /// Waits until no request may be sent to the worker any more.
-    pub(crate) async fn worker_leaves(&self, worker: WorkerKey) {
+    pub(crate) async fn worker_becomes_unavailable(&self, worker: WorkerKey) {
         while self.may_send(worker) {
             self.view_changed.notified().await;
         }
@@ -213,7 +213,7 @@
     }
 
     /// Tells the agent something. An agent that has gone hears nothing.
-    pub(crate) fn tell(&self, feedback: Feedback) {
+    pub(crate) fn send_feedback(&self, feedback: Feedback) {
         let _ = self.feedback.send(feedback);
     }
 
@@ -221,22 +221,27 @@
     pub(crate) fn tick(&self) {
         let now = self.now();
         self.pool.drop_expired();
-        self.missing.forget_old(now);
-        self.admission.set_view(now, &self.view(), self.router.borrow().workers());
+        self.missing_models.remove_stale(now);
+        self.admission.apply_view(now, &self.view(), self.router.borrow().workers());
         self.admission.tick(now);
     }
 
     /// Tells the agent of load and demand.
     pub(crate) fn summarize(&self) {
         let now = self.now();
-        let span_ms = now.saturating_sub(self.summary_at.replace(now));
+        let span_ms = now.saturating_sub(self.last_summary_at.replace(now));
         let mut statistics = self.statistics.borrow_mut();
         let mut routes = statistics.take_routes();
-        self.admission.complete(now, &mut routes);
+        self.admission.add_route_rates(now, &mut routes);
         let demand = statistics.take_demand(span_ms);
         let outstanding = self.router.borrow().outstanding();
         let outstanding = outstanding.into_iter().map(|(worker, requests)| WorkerLoad { worker, requests });
-        self.tell(Feedback::Summary(Summary { span_ms, demand, outstanding: outstanding.collect(), routes }));
+        self.send_feedback(Feedback::Summary(Summary {
+            span_ms,
+            demand,
+            outstanding: outstanding.collect(),
+            routes,
+        }));
     }
 
     /// Logs why requests were refused since the last time.
@@ -248,12 +253,12 @@
     }
 
     /// Looks for workers whose streams have stopped.
-    pub(crate) fn look_for_silence(&self) {
+    pub(crate) fn check_stalled_workers(&self) {
         if !self.settings.borrow().decisions.holding.beside_silent_worker {
             return;
         }
-        let silent = self.router.borrow_mut().silent_workers(self.now());
-        self.silent.replace(silent);
+        let stalled = self.router.borrow_mut().silent_workers(self.now());
+        self.stalled_workers.replace(stalled);
     }
 }
 
--- a/src/data_plane/shutdown.rs
+++ b/src/data_plane/shutdown.rs
@@ -18,22 +18,22 @@
 
 /// The phase, and when the process was told to end.
 #[derive(Debug, Clone, Copy)]
-struct Progress {
+struct ShutdownState {
     phase: Phase,
-    begun: Option<Instant>,
+    started_at: Option<Instant>,
 }
 
 /// Tells a data plane to end.
 #[derive(Debug, Clone)]
 pub struct ShutdownHandle {
-    progress: watch::Sender<Progress>,
+    state: watch::Sender<ShutdownState>,
 }
 
 /// Times of an orderly end, both from the signal on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ShutdownTimes {
     /// Time in which new connections are still taken.
-    pub(crate) leaving: Duration,
+    pub(crate) drain: Duration,
     /// Time after which the process ends, whatever runs.
     pub(crate) end: Duration,
 }
@@ -42,14 +42,16 @@
     /// Times that fit before SIGKILL, which comes `grace` after SIGTERM.
     pub(crate) fn within(grace: Duration) -> ShutdownTimes {
         let end = grace.saturating_sub(policy::EXIT_MARGIN);
-        let leaving = policy::MAX_DRAIN_TIME.min(grace.mul_f64(policy::DRAIN_SHARE)).min(end);
-        ShutdownTimes { leaving, end }
+        let drain = policy::MAX_DRAIN_TIME.min(grace.mul_f64(policy::DRAIN_SHARE)).min(end);
+        ShutdownTimes { drain, end }
     }
 }
 
 impl ShutdownHandle {
     pub(crate) fn new() -> ShutdownHandle {
-        ShutdownHandle { progress: watch::Sender::new(Progress { phase: Phase::Serving, begun: None }) }
+        ShutdownHandle {
+            state: watch::Sender::new(ShutdownState { phase: Phase::Serving, started_at: None }),
+        }
     }
 
     /// Starts the end; has no effect a second time.
@@ -59,20 +61,20 @@
 
     /// The present phase.
     pub fn phase(&self) -> Phase {
-        self.progress.borrow().phase
+        self.state.borrow().phase
     }
 
     /// When the process was told to end, if it was.
-    pub(crate) fn begun(&self) -> Option<Instant> {
-        self.progress.borrow().begun
+    pub(crate) fn started_at(&self) -> Option<Instant> {
+        self.state.borrow().started_at
     }
 
     pub(crate) fn advance(&self, phase: Phase) {
-        self.progress.send_if_modified(|progress| {
-            let later = phase > progress.phase;
+        self.state.send_if_modified(|state| {
+            let later = phase > state.phase;
             if later {
-                progress.phase = phase;
-                progress.begun.get_or_insert_with(Instant::now);
+                state.phase = phase;
+                state.started_at.get_or_insert_with(Instant::now);
             }
             later
         });
@@ -80,8 +82,8 @@
 
     /// Waits until the phase is reached.
     pub async fn reached(&self, phase: Phase) {
-        let mut progress = self.progress.subscribe();
+        let mut state = self.state.subscribe();
         // The sender lives in `self`, so waiting cannot fail.
-        let _ = progress.wait_for(|present| present.phase >= phase).await;
+        let _ = state.wait_for(|state| state.phase >= phase).await;
     }
 }
--- a/src/data_plane/signals.rs
+++ b/src/data_plane/signals.rs
@@ -11,7 +11,7 @@
     while hangup.recv().await.is_some() {
         let reread = shared.settings.borrow().reread();
         match reread {
-            Ok(settings) => shared.take_settings(settings),
+            Ok(settings) => shared.apply_settings(settings),
             Err(error) => log::warn!("settings are kept: {error}"),
         }
     }
--- a/src/data_plane/silence.rs
+++ b/src/data_plane/silence.rs
@@ -7,17 +7,17 @@
 
 /// The workers that are silent now, and who waits to hear of it.
 #[derive(Debug, Default)]
-pub(crate) struct SilentWorkers {
+pub(crate) struct StalledWorkers {
     workers: RefCell<HashSet<WorkerKey>>,
     changed: Notify,
 }
 
-impl SilentWorkers {
+impl StalledWorkers {
     /// Replaces the set.
     pub(crate) fn replace(&self, workers: Vec<WorkerKey>) {
-        let any = !workers.is_empty();
+        let has_stalled = !workers.is_empty();
         *self.workers.borrow_mut() = workers.into_iter().collect();
-        if any {
+        if has_stalled {
             self.changed.notify_waiters();
         }
     }
--- a/src/data_plane/stream_answer.rs
+++ b/src/data_plane/stream_answer.rs
@@ -1,7 +1,7 @@
 //! A series of events, passed on one by one and taken up at another worker where its own breaks.
 
 use super::answer_body::{AnswerBroken, Piece, PieceSource};
-use super::attempt::{AttemptEnd, ResumePoint};
+use super::attempt::{AttemptResult, ResumePoint};
 use super::event_stream::{Event, EventSplitter};
 use super::exchange::Exchange;
 use super::policy;
@@ -71,7 +71,7 @@
         let step = tokio::select! {
             biased;
             step = answer.next_step() => Step::Body(step),
-            () = self.exchange.shared.silent.wait_for(worker), if !self.stays => {
+            () = self.exchange.shared.stalled_workers.wait_for(worker), if !self.stays => {
                 Step::WorkerSilent
             }
             () = &mut self.deadline => Step::DeadlinePassed,
@@ -113,14 +113,14 @@
 
     /// Whether another worker could go on with the stream.
     fn can_move(&self) -> bool {
-        self.exchange.rules.resumable && !self.position.unnumbered && self.exchange.could_repeat_elsewhere()
+        self.exchange.rules.resumable && !self.position.unnumbered && self.exchange.may_retry_elsewhere()
     }
 
     /// Takes a stream whose connection has failed up at another worker.
     async fn take_up(&mut self, outcome: AttemptOutcome) -> bool {
         if let Some(answer) = self.answer.take() {
             if outcome == AttemptOutcome::Broken {
-                self.exchange.check_worker(answer.attempt.worker());
+                self.exchange.probe_worker(answer.attempt.worker());
             }
             answer.abandon(outcome);
         }
@@ -175,7 +175,7 @@
                     if events.is_empty() {
                         continue;
                     }
-                    self.exchange.first_byte();
+                    self.exchange.record_response_data();
                     if let Some(answer) = &self.answer {
                         answer.attempt.progress();
                     }
@@ -228,7 +228,7 @@
 impl Exchange {
     /// The rest of a stream from another worker; gives up when none may be asked or the time for it is over.
     async fn resume(&mut self, last_event_id: Option<u64>, versions: Option<u64>) -> Option<WorkerAnswer> {
-        self.trail.may_have_run = true;
+        self.history.may_have_run = true;
         let resumed = self.ask_for_rest(last_event_id, versions);
         tokio::time::timeout(policy::RESUME_TIMEOUT, resumed).await.ok().flatten()
     }
@@ -239,21 +239,23 @@
         versions: Option<u64>,
     ) -> Option<WorkerAnswer> {
         let mut point = ResumePoint { last_event_id, expect_version: versions };
-        while self.may_try_again() {
-            let Choice::Send(worker) = self.choose() else {
+        while self.may_retry() {
+            let Choice::Send(worker) = self.choose_worker() else {
                 tokio::time::sleep(policy::RESUME_RETRY_INTERVAL).await;
                 continue;
             };
             match self.attempt(worker, point).await {
-                AttemptEnd::Answered(answer) if answer.is_event_stream() => return Some(*answer),
-                AttemptEnd::Answered(_) | AttemptEnd::OutOfBudget | AttemptEnd::TimedOut => return None,
-                AttemptEnd::NotRun(StatusCode::MISDIRECTED_REQUEST) if point.expect_version.is_some() => {
+                AttemptResult::Responded(answer) if answer.is_event_stream() => return Some(*answer),
+                AttemptResult::Responded(_)
+                | AttemptResult::RetryBudgetExhausted
+                | AttemptResult::TimedOut => return None,
+                AttemptResult::NotRun(StatusCode::MISDIRECTED_REQUEST) if point.expect_version.is_some() => {
                     // Another version is better than a cut; this worker has not run the request.
                     point.expect_version = None;
-                    self.trail.sent -= 1;
-                    self.trail.excluded.pop();
+                    self.history.sent -= 1;
+                    self.history.excluded.pop();
                 }
-                AttemptEnd::NotSent | AttemptEnd::NotRun(_) | AttemptEnd::MayHaveRun => {}
+                AttemptResult::NotSent | AttemptResult::NotRun(_) | AttemptResult::MayHaveRun => {}
             }
         }
         None
--- a/src/data_plane/tests.rs
+++ b/src/data_plane/tests.rs
@@ -17,7 +17,7 @@
 
 use super::descriptors::DescriptorShares;
 use super::event_stream::EventSplitter;
-use super::outcome::{judge, Verdict};
+use super::outcome::{classify, ResponseClass};
 use super::request_head::{ModelName, RequestHead};
 use super::shutdown::ShutdownTimes;
 use googletest::prelude::*;
@@ -64,13 +64,13 @@
     verify_that!(head.deadline, none())
 }
 
-fn verdict(status: u16, headers: &[(&str, &str)]) -> Verdict {
+fn verdict(status: u16, headers: &[(&str, &str)]) -> ResponseClass {
     let mut answer = Response::builder().status(status);
     for (name, value) in headers {
         answer = answer.header(*name, *value);
     }
     let parts = answer.body(()).unwrap().into_parts().0;
-    judge(&parts, Some(&HeaderValue::from_static("r1")))
+    classify(&parts, Some(&HeaderValue::from_static("r1")))
 }
 
 const ID: (&str, &str) = ("Request-Id", "r1");
@@ -80,31 +80,37 @@
 
 #[gtest]
 fn a_stamped_answer_with_the_requests_id_is_delivered() {
-    expect_that!(verdict(200, &[ID, STAMP, LENGTH]), eq(Verdict::Deliver));
-    expect_that!(verdict(500, &[ID, STAMP, LENGTH]), eq(Verdict::Deliver));
-    expect_that!(verdict(504, &[ID, STAMP, LENGTH]), eq(Verdict::Deliver));
-    expect_that!(verdict(404, &[ID, LENGTH]), eq(Verdict::Deliver));
+    expect_that!(verdict(200, &[ID, STAMP, LENGTH]), eq(ResponseClass::Forward));
+    expect_that!(verdict(500, &[ID, STAMP, LENGTH]), eq(ResponseClass::Forward));
+    expect_that!(verdict(504, &[ID, STAMP, LENGTH]), eq(ResponseClass::Forward));
+    expect_that!(verdict(404, &[ID, LENGTH]), eq(ResponseClass::Forward));
     // Whether an answer without a length is whole is seen at its end.
-    expect_that!(verdict(200, &[ID, STAMP]), eq(Verdict::Deliver));
+    expect_that!(verdict(200, &[ID, STAMP]), eq(ResponseClass::Forward));
 }
 
 #[gtest]
 fn an_answer_that_proves_nothing_may_have_run() {
-    expect_that!(verdict(200, &[STAMP, LENGTH]), eq(Verdict::MayHaveRun));
-    expect_that!(verdict(200, &[("Request-Id", "r2"), STAMP, LENGTH]), eq(Verdict::MayHaveRun));
-    expect_that!(verdict(200, &[ID, ID, STAMP, LENGTH]), eq(Verdict::MayHaveRun));
-    expect_that!(verdict(200, &[ID, LENGTH]), eq(Verdict::MayHaveRun));
-    expect_that!(verdict(101, &[ID, STAMP]), eq(Verdict::MayHaveRun));
-    expect_that!(verdict(200, &[ID, STAMP, LENGTH, ("Content-Encoding", "gzip")]), eq(Verdict::MayHaveRun));
-    expect_that!(verdict(503, &[ID, STAMP, LENGTH]), eq(Verdict::MayHaveRun));
-    expect_that!(verdict(429, &[ID, STAMP, LENGTH]), eq(Verdict::MayHaveRun));
-    expect_that!(verdict(503, &[("Request-Id", "r2"), NOT_EXECUTED]), eq(Verdict::MayHaveRun));
+    expect_that!(verdict(200, &[STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
+    expect_that!(verdict(200, &[("Request-Id", "r2"), STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
+    expect_that!(verdict(200, &[ID, ID, STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
+    expect_that!(verdict(200, &[ID, LENGTH]), eq(ResponseClass::MayHaveRun));
+    expect_that!(verdict(101, &[ID, STAMP]), eq(ResponseClass::MayHaveRun));
+    expect_that!(
+        verdict(200, &[ID, STAMP, LENGTH, ("Content-Encoding", "gzip")]),
+        eq(ResponseClass::MayHaveRun)
+    );
+    expect_that!(verdict(503, &[ID, STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
+    expect_that!(verdict(429, &[ID, STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
+    expect_that!(verdict(503, &[("Request-Id", "r2"), NOT_EXECUTED]), eq(ResponseClass::MayHaveRun));
 }
 
 #[gtest]
 fn only_a_marked_answer_or_a_misdirected_one_proves_that_nothing_ran() {
-    expect_that!(verdict(503, &[ID, NOT_EXECUTED]), eq(Verdict::NotRun(StatusCode::SERVICE_UNAVAILABLE)));
-    expect_that!(verdict(421, &[ID]), eq(Verdict::NotRun(StatusCode::MISDIRECTED_REQUEST)));
+    expect_that!(
+        verdict(503, &[ID, NOT_EXECUTED]),
+        eq(ResponseClass::NotRun(StatusCode::SERVICE_UNAVAILABLE))
+    );
+    expect_that!(verdict(421, &[ID]), eq(ResponseClass::NotRun(StatusCode::MISDIRECTED_REQUEST)));
 }
 
 #[gtest]
@@ -138,7 +144,7 @@
     for grace_ms in [500, 1000, 4000, 8000, 30_000] {
         let grace = Duration::from_millis(grace_ms);
         let times = ShutdownTimes::within(grace);
-        expect_that!(times.leaving, le(times.end), "grace {grace_ms} ms");
+        expect_that!(times.drain, le(times.end), "grace {grace_ms} ms");
         expect_that!(times.end, lt(grace), "grace {grace_ms} ms");
     }
 }
--- a/src/data_plane/tests/planned_work.rs
+++ b/src/data_plane/tests/planned_work.rs
@@ -25,7 +25,7 @@
             let mut settings = settings();
             settings.bounds.retry_budget_ratio = 0.0;
             settings.bounds.grace_s = 30.0;
-            rig.shared.take_settings(settings);
+            rig.shared.apply_settings(settings);
         }),
         ("SIGTERM", |rig| rig.shared.shutdown.begin()),
         ("the last phase of the end", |rig| rig.shared.shutdown.advance(Phase::Closing)),
--- a/src/data_plane/tests/process_end.rs
+++ b/src/data_plane/tests/process_end.rs
@@ -118,7 +118,7 @@
                 let shared = rig.shared.clone();
                 let worker_comes = async move {
                     tokio::time::sleep(Duration::from_millis(700)).await;
-                    shared.take_view(view(2, &ALL_ROUTES, vec![worker_view(1)]));
+                    shared.apply_view(view(2, &ALL_ROUTES, vec![worker_view(1)]));
                 };
                 let (answered, (), ()) = tokio::join!(read_to_end(client), worker_comes, rig.process_end());
                 expect_whole_or_refused(&rig, route, "held", &answered, &case);
@@ -241,7 +241,7 @@
         client.write_all(&request_bytes(RouteUnderTest::Unsafe, "late", "", "")).await.expect("window");
         tokio::time::sleep(Duration::from_millis(50)).await;
         // SIGHUP after SIGTERM: what has been taken was promised the time by the former settings.
-        rig.shared.take_settings(settings());
+        rig.shared.apply_settings(settings());
         let workers = rig.workers.clone();
         let rest = async move {
             tokio::time::sleep(Duration::from_millis(1700)).await;
--- a/src/data_plane/tests/reachability.rs
+++ b/src/data_plane/tests/reachability.rs
@@ -2,7 +2,7 @@
 
 use super::super::connector::{Connecting, Connector};
 use super::super::feedback::Feedback;
-use super::super::pool::{LeaseLimits, NoConnection, Pool};
+use super::super::pool::{LeaseError, LeaseLimits, Pool};
 use super::super::shared::Shared;
 use super::super::shutdown::ShutdownHandle;
 use super::rig::{paused, settings};
@@ -35,16 +35,16 @@
 #[gtest]
 fn a_refused_connection_is_told_apart_from_one_that_does_not_come_up() {
     let cases = [
-        (Some(ErrorKind::ConnectionRefused), NoConnection::Refused),
-        (Some(ErrorKind::HostUnreachable), NoConnection::ConnectFailed),
-        (None, NoConnection::ConnectFailed),
+        (Some(ErrorKind::ConnectionRefused), LeaseError::Refused),
+        (Some(ErrorKind::HostUnreachable), LeaseError::ConnectFailed),
+        (None, LeaseError::ConnectFailed),
     ];
     for (kind, expected) in cases {
         paused(async {
-            let pool = Pool::over(Rc::new(Failing(kind)), 10);
+            let pool = Pool::with_connector(Rc::new(Failing(kind)), 10);
             let leased = pool.lease("w", ADDRESS, LIMITS).await.err();
             expect_that!(leased, some(eq(expected)), "{kind:?}");
-            expect_that!(pool.check("w", ADDRESS, LIMITS).await, err(eq(expected)), "{kind:?}");
+            expect_that!(pool.probe("w", ADDRESS, LIMITS).await, err(eq(expected)), "{kind:?}");
         });
     }
 }
@@ -54,10 +54,10 @@
     paused(async {
         let (feedback, mut told) = mpsc::unbounded_channel();
         let shared = Shared::new(settings(), feedback, ShutdownHandle::new());
-        shared.report_unreachable("w1", NoConnection::Refused);
-        shared.report_unreachable("w1", NoConnection::Refused);
-        shared.report_unreachable("w2", NoConnection::ConnectFailed);
-        shared.report_unreachable("w3", NoConnection::AllInUse);
+        shared.report_unreachable("w1", LeaseError::Refused);
+        shared.report_unreachable("w1", LeaseError::Refused);
+        shared.report_unreachable("w2", LeaseError::ConnectFailed);
+        shared.report_unreachable("w3", LeaseError::PoolExhausted);
         let mut reports = Vec::new();
         while let Ok(Feedback::Unreachable { worker, refused }) = told.try_recv() {
             reports.push((worker, refused));
--- a/src/data_plane/tests/rig.rs
+++ b/src/data_plane/tests/rig.rs
@@ -180,7 +180,7 @@
         let workers = Rc::new(Workers::default());
         let (tell, feedback) = mpsc::unbounded_channel();
         let mut shared = Shared::new(settings(), tell, ShutdownHandle::new());
-        shared.pool = Pool::over(Rc::new(MemoryConnector(workers.clone())), 1000);
+        shared.pool = Pool::with_connector(Rc::new(MemoryConnector(workers.clone())), 1000);
         let shared = Rc::new(shared);
         let mut tasks = JoinSet::new();
         spawn_repeated_work(&shared, &mut tasks);
@@ -194,7 +194,7 @@
 
     /// Tells a view with another configuration.
     pub(crate) fn tell_routes(&self, revision: u64, routes: &[RouteUnderTest], workers: Vec<WorkerView>) {
-        self.shared.take_view(view(revision, routes, workers));
+        self.shared.apply_view(view(revision, routes, workers));
     }
 
     /// Tells the process to end, as SIGTERM does.
--- a/src/data_plane/view.rs
+++ b/src/data_plane/view.rs
@@ -58,19 +58,19 @@
 
     /// Whether the other view is the same but for the expected loads.
     pub fn shares_state_with(&self, other: &View) -> bool {
-        same(&self.document, &other.document)
+        shares_arc(&self.document, &other.document)
             && Arc::ptr_eq(&self.workers, &other.workers)
-            && same(&self.loads, &other.loads)
+            && shares_arc(&self.loads, &other.loads)
             && (self.gatekeepers, self.confirmed) == (other.gatekeepers, other.confirmed)
     }
 
     /// Whether the other view has the same loads.
     pub fn shares_loads_with(&self, other: &View) -> bool {
-        same(&self.loads, &other.loads)
+        shares_arc(&self.loads, &other.loads)
     }
 }
 
-fn same<T>(one: &Option<Arc<T>>, other: &Option<Arc<T>>) -> bool {
+fn shares_arc<T>(one: &Option<Arc<T>>, other: &Option<Arc<T>>) -> bool {
     match (one, other) {
         (Some(one), Some(other)) => Arc::ptr_eq(one, other),
         (one, other) => one.is_none() && other.is_none(),
--- a/src/data_plane/worker_answer.rs
+++ b/src/data_plane/worker_answer.rs
@@ -85,7 +85,7 @@
     /// Ends the attempt after the whole body; the connection is kept if the worker keeps it.
     pub(crate) fn complete(self, outcome: AttemptOutcome) {
         self.attempt.finish(outcome);
-        self.lease.keep(idle_time(&self.head.headers));
+        self.lease.return_to_pool(idle_time(&self.head.headers));
     }
 
     /// Ends the attempt and closes the connection.
--- a/src/data_plane/worker_choice.rs
+++ b/src/data_plane/worker_choice.rs
@@ -11,82 +11,82 @@
 impl Exchange {
     /// Chooses a worker. While none holds the request's model, or none of the service is known, the request
     /// is held as long as it can still be answered in time, and then given up.
-    pub(crate) async fn next_worker(&mut self) -> Result<WorkerKey, LocalReply> {
+    pub(crate) async fn select_worker(&mut self) -> Result<WorkerKey, LocalReply> {
         let mut waiting = None;
         loop {
             if self.time_left().is_zero() {
-                return Err(self.time_over());
+                return Err(self.deadline_reply());
             }
-            if !self.ends_before_process() {
-                return Err(self.give_up_leaving());
+            if !self.ends_before_shutdown() {
+                return Err(self.refuse_for_shutdown());
             }
-            let choice = self.choose();
-            let hold_until = match choice {
+            let choice = self.choose_worker();
+            let wait_until = match choice {
                 Choice::Send(worker) => return Ok(worker),
-                Choice::Busy { .. } => return Err(self.give_up_after(choice)),
-                Choice::Missing => self.model_hold_end(),
-                Choice::NoWorker => self.worker_hold_end(),
+                Choice::Busy { .. } => return Err(self.refuse_after(choice)),
+                Choice::Missing => self.model_wait_end(),
+                Choice::NoWorker => self.worker_wait_end(),
             };
             if choice == Choice::Missing {
-                waiting = waiting.or_else(|| self.shared.missing.begin(&self.profile));
-                self.report(waiting.as_ref());
+                waiting = waiting.or_else(|| self.shared.missing_models.register(&self.profile));
+                self.report_missing_model(waiting.as_ref());
             }
-            if Instant::now() >= hold_until {
-                return Err(self.give_up_after(choice));
+            if Instant::now() >= wait_until {
+                return Err(self.refuse_after(choice));
             }
             if let Some(admitted) = &mut self.admitted {
-                admitted.waits_for_load();
+                admitted.mark_waiting_for_load();
             }
             self.timeline.waits_for_model();
-            let too_late = tokio::select! {
-                () = self.too_late_to_send() => true,
-                () = self.wait_for_view(hold_until) => false,
+            let is_shutting_down = tokio::select! {
+                () = self.shutdown_forbids_sending() => true,
+                () = self.wait_for_change(wait_until) => false,
             };
-            if too_late {
-                return Err(self.give_up_leaving());
+            if is_shutting_down {
+                return Err(self.refuse_for_shutdown());
             }
         }
     }
 
     /// The answer of a request that may not end before the process.
-    fn give_up_leaving(&self) -> LocalReply {
+    fn refuse_for_shutdown(&self) -> LocalReply {
         self.shared.statistics.borrow_mut().refusals.leaving += 1;
-        self.not_run(policy::RETRY_AFTER_SHUTDOWN_MS)
+        self.not_run_reply(policy::RETRY_AFTER_SHUTDOWN_MS)
     }
 
     /// The answer of a request that is given up, with advice by what the router says now.
-    pub(crate) fn give_up(&self) -> LocalReply {
-        if !self.ends_before_process() {
-            return self.give_up_leaving();
+    pub(crate) fn refuse(&self) -> LocalReply {
+        if !self.ends_before_shutdown() {
+            return self.refuse_for_shutdown();
         }
-        let choice = self.choose();
+        let choice = self.choose_worker();
         if choice == Choice::Missing {
-            self.report(self.shared.missing.begin(&self.profile).as_ref());
+            self.report_missing_model(self.shared.missing_models.register(&self.profile).as_ref());
         }
-        self.give_up_after(choice)
+        self.refuse_after(choice)
     }
 
     /// Tells the agent that the request's model is missing, unless it has just been told.
-    fn report(&self, waiting: Option<&WaitingRequest>) {
-        if let Some(report) = waiting.and_then(|request| request.report(self.shared.now())) {
-            self.shared.tell(report);
+    fn report_missing_model(&self, waiting: Option<&WaitingRequest>) {
+        if let Some(report) = waiting.and_then(|request| request.take_report(self.shared.now())) {
+            self.shared.send_feedback(report);
         }
     }
 
-    fn give_up_after(&self, choice: Choice) -> LocalReply {
+    fn refuse_after(&self, choice: Choice) -> LocalReply {
         self.count_refusal(choice);
         let retry_after_ms = match choice {
             Choice::Send(_) => policy::RETRY_AFTER_REFUSED_MS,
             Choice::Busy { retry_after_ms } => retry_after_ms,
-            Choice::Missing => self.retry_after_load_ms(),
+            Choice::Missing => self.retry_after_model_load_ms(),
             Choice::NoWorker => policy::RETRY_AFTER_NO_WORKER_MS,
         };
-        self.not_run(retry_after_ms)
+        self.not_run_reply(retry_after_ms)
     }
 
     /// The promise that the request has not run, where that is so.
-    fn not_run(&self, retry_after_ms: u64) -> LocalReply {
-        match self.trail.may_have_run {
+    fn not_run_reply(&self, retry_after_ms: u64) -> LocalReply {
+        match self.history.may_have_run {
             true => LocalReply::MayHaveRun,
             false => LocalReply::NotRun { retry_after_ms },
         }
@@ -96,7 +96,7 @@
         let mut statistics = self.shared.statistics.borrow_mut();
         let refusals = &mut statistics.refusals;
         let counter = match choice {
-            _ if self.trail.may_have_run => &mut refusals.may_have_run,
+            _ if self.history.may_have_run => &mut refusals.may_have_run,
             Choice::Send(_) => &mut refusals.attempts,
             Choice::Busy { .. } => &mut refusals.busy,
             Choice::Missing if self.profile.adapter.is_some() => &mut refusals.missing_adapter,
@@ -107,85 +107,88 @@
     }
 
     /// Asks the router.
-    pub(crate) fn choose(&self) -> Choice {
+    pub(crate) fn choose_worker(&self) -> Choice {
         let mut router = self.shared.router.borrow_mut();
         let is_connected = |worker: &str| self.shared.pool.has_idle(worker);
-        router.choose_connected(self.shared.now(), &self.profile, &self.trail.excluded, &is_connected)
+        router.choose_connected(self.shared.now(), &self.profile, &self.history.excluded, &is_connected)
     }
 
-    async fn wait_for_view(&self, until: Instant) {
+    async fn wait_for_change(&self, until: Instant) {
         let next_report = Instant::now() + Duration::from_millis(policy::MISSING_REPORT_INTERVAL_MS);
         tokio::select! {
             () = self.shared.view_changed.notified() => {}
-            () = self.expectation_changes() => {}
+            () = self.expected_ready_time_changes() => {}
             () = tokio::time::sleep_until(until.min(next_report)) => {}
         }
     }
 
     /// Waits until something else is told of when the request's model should stand.
-    async fn expectation_changes(&self) {
+    async fn expected_ready_time_changes(&self) {
         let Some(key) = model_key(&self.profile) else { return std::future::pending().await };
         let before = self.shared.view().expected_loads.ready_at(&key);
         while self.shared.view().expected_loads.ready_at(&key) == before {
-            self.shared.expected_changed.notified().await;
+            self.shared.expected_loads_changed.notified().await;
         }
     }
 
     /// Until when a request is held for its model or adapter.
-    fn model_hold_end(&self) -> Instant {
-        let aim = self.rules.aim;
+    fn model_wait_end(&self) -> Instant {
+        let target_latency = self.rules.target_latency;
         if !self.shared.settings.borrow().decisions.holding.for_model {
             return self.arrived;
         }
-        let is_short = aim < Duration::from_millis(policy::SHORT_TARGET_LATENCY_MS);
-        let by_aim = match is_short {
-            true => self.short_aim_hold(aim),
-            false => aim.mul_f64(policy::LONG_TARGET_WAIT_SHARE),
+        let is_short = target_latency < Duration::from_millis(policy::SHORT_TARGET_LATENCY_MS);
+        let max_wait = match is_short {
+            true => self.max_wait_for_short_target(target_latency),
+            false => target_latency.mul_f64(policy::LONG_TARGET_WAIT_SHARE),
         };
-        self.hold_end(by_aim)
+        self.wait_end(max_wait)
     }
 
     /// How long a request with a short objective is held: for its whole objective where the model is expected within it,
     /// not at all where it is expected later, and for a moment while the placer has not told.
-    fn short_aim_hold(&self, aim: Duration) -> Duration {
-        let Some(wait) = self.expected_wait() else {
+    fn max_wait_for_short_target(&self, target_latency: Duration) -> Duration {
+        let Some(wait) = self.time_until_expected_load() else {
             return match &self.profile.adapter {
-                Some(_) => policy::MAX_ADAPTER_WAIT.min(aim.mul_f64(policy::MAX_ADAPTER_WAIT_SHARE)),
-                None => aim.mul_f64(policy::SHORT_TARGET_WAIT_SHARE),
+                Some(_) => {
+                    policy::MAX_ADAPTER_WAIT.min(target_latency.mul_f64(policy::MAX_ADAPTER_WAIT_SHARE))
+                }
+                None => target_latency.mul_f64(policy::SHORT_TARGET_WAIT_SHARE),
             };
         };
-        let in_time = self.arrived.elapsed() + wait <= aim.mul_f64(policy::EXPECTED_LOAD_WAIT_SHARE);
+        let in_time =
+            self.arrived.elapsed() + wait <= target_latency.mul_f64(policy::EXPECTED_LOAD_WAIT_SHARE);
         match in_time {
-            true => aim.mul_f64(policy::LONG_TARGET_WAIT_SHARE),
+            true => target_latency.mul_f64(policy::LONG_TARGET_WAIT_SHARE),
             false => Duration::ZERO,
         }
     }
 
     /// Time until the model or adapter should stand, if the placer has told; zero if it should stand already.
-    fn expected_wait(&self) -> Option<Duration> {
+    fn time_until_expected_load(&self) -> Option<Duration> {
         let key = model_key(&self.profile)?;
         let ready_at = self.shared.view().expected_loads.ready_at(&key)?;
         let now = self.shared.now();
-        let still_awaited = now <= ready_at.saturating_add(policy::EXPECTED_LOAD_OVERDUE_MS);
-        still_awaited.then(|| Duration::from_millis(ready_at.saturating_sub(now)))
+        let is_still_expected = now <= ready_at.saturating_add(policy::EXPECTED_LOAD_OVERDUE_MS);
+        is_still_expected.then(|| Duration::from_millis(ready_at.saturating_sub(now)))
     }
 
     /// Until when a request is held for a first worker of its service.
-    fn worker_hold_end(&self) -> Instant {
-        self.hold_end(policy::MAX_FIRST_WORKER_WAIT)
+    fn worker_wait_end(&self) -> Instant {
+        self.wait_end(policy::MAX_FIRST_WORKER_WAIT)
     }
 
-    fn hold_end(&self, longest: Duration) -> Instant {
-        let whole = self.deadline.saturating_duration_since(self.arrived);
-        self.arrived + longest.min(whole.mul_f64(policy::MAX_WAIT_SHARE_OF_TIMEOUT))
+    fn wait_end(&self, max_wait: Duration) -> Instant {
+        let timeout = self.deadline.saturating_duration_since(self.arrived);
+        self.arrived + max_wait.min(timeout.mul_f64(policy::MAX_WAIT_SHARE_OF_TIMEOUT))
     }
 
     /// When to come back for a model or adapter that stands nowhere, in milliseconds.
-    fn retry_after_load_ms(&self) -> u64 {
-        if let Some(wait) = self.expected_wait().filter(|wait| !wait.is_zero()) {
+    fn retry_after_model_load_ms(&self) -> u64 {
+        if let Some(wait) = self.time_until_expected_load().filter(|wait| !wait.is_zero()) {
             return wait.as_millis() as u64 + policy::RETRY_AFTER_EXPECTED_LOAD_MS;
         }
-        if self.profile.adapter.is_some() && self.stands_without_adapter() {
+        if self.profile.adapter.is_some() && self.base_model_is_loaded() {
             return policy::RETRY_AFTER_ADAPTER_MS;
         }
         let document = self.shared.document();
@@ -198,7 +201,7 @@
     }
 
     /// Whether some worker holds the model, so that only its adapter has to come.
-    fn stands_without_adapter(&self) -> bool {
+    fn base_model_is_loaded(&self) -> bool {
         let Some(model) = self.profile.model.as_deref() else { return false };
         let view = self.shared.view();
         view.workers.iter().any(|worker| worker.service == self.profile.service && worker.holds(model, None))
