--- a/src/data_plane/admission_stage.rs
+++ b/src/data_plane/admission_stage.rs
@@ -1,4 +1,5 @@
-//! Admission ahead of routing: feeds the controller and asks it.
+//! Admission control ahead of routing. Feeds the admission controller with measurements and applies its
+//! decisions.
 
 use super::feedback::RouteLoad;
 use super::policy;
@@ -10,12 +11,12 @@
 use switchhill_configuration::{Document, Route};
 use switchhill_routing::{Availability, RequestProfile, WorkerView};
 
-/// The admission stage of a gatekeeper.
+/// Admission control of one gatekeeper.
 pub(crate) struct AdmissionStage {
     controller: RefCell<Controller>,
 }
 
-/// A request that was let through; it tells the controller once how long its answer took to begin.
+/// An admitted request. It reports its time to first byte to the controller exactly once.
 pub(crate) struct AdmittedRequest {
     stage: Rc<AdmissionStage>,
     route: String,
@@ -26,19 +27,20 @@
 }
 
 impl AdmissionStage {
-    /// A stage without routes.
+    /// Creates a stage without routes.
     pub(crate) fn new(settings: Settings, seed: u64) -> AdmissionStage {
         let settings = Settings { seed, ..settings };
         AdmissionStage { controller: RefCell::new(Controller::new(settings)) }
     }
 
-    /// Takes the routes of a new configuration.
+    /// Replaces the routes with those of a new configuration.
     pub(crate) fn set_routes(&self, now: u64, document: &Document) {
         let terms: Vec<RouteTerms> = document.routes().iter().map(route_terms).collect();
         self.controller.borrow_mut().set_routes(now, &terms);
     }
 
-    /// Takes what a view tells of the other gatekeepers, and the workers with our requests at them.
+    /// Applies the route loads of the other gatekeepers from a view, and the load of each service. `workers`
+    /// pairs each worker with the number of requests that this gatekeeper has outstanding at it.
     pub(crate) fn apply_view<'a>(
         &self,
         now: u64,
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Decides on a request.
+    /// Decides whether to admit a request. A refusal carries the retry delay in milliseconds.
     pub(crate) fn admit(
         self: &Rc<Self>,
         now: u64,
@@ -78,12 +80,12 @@
         }
     }
 
-    /// Measures the past second.
+    /// Takes the measurements of the past second.
     pub(crate) fn tick(&self, now: u64) {
         self.controller.borrow_mut().tick(now);
     }
 
-    /// Adds what the controller tells the other gatekeepers to the routes counted.
+    /// Adds the rates that the other gatekeepers need to the per-route counts, creating missing entries.
     pub(crate) fn add_route_rates(&self, now: u64, routes: &mut Vec<RouteLoad>) {
         for (name, summary) in self.controller.borrow().summary(now) {
             let index = routes.iter().position(|load| load.route == name).unwrap_or_else(|| {
@@ -97,12 +99,13 @@
 }
 
 impl AdmittedRequest {
-    /// The request waits for a load: its latency tells nothing of congestion.
+    /// Marks the request as waiting for a model load, so that its latency is not taken as a sign of
+    /// congestion.
     pub(crate) fn mark_waiting_for_load(&mut self) {
         self.waited_for_load = true;
     }
 
-    /// The answer has begun.
+    /// Reports the time to first byte.
     pub(crate) fn record_first_byte(&mut self, now: u64) {
         self.report_sample(now, Some(now.saturating_sub(self.admitted_at) as f64));
     }
@@ -138,7 +141,7 @@
     }
 }
 
-/// Tokens of the prompt and weighted tokens put out.
+/// Cost of a request in admission units: prompt tokens plus weighted output tokens.
 fn request_units(profile: &RequestProfile) -> f64 {
     let tokens =
         f64::from(profile.prompt_tokens) + policy::OUTPUT_TOKEN_WEIGHT * f64::from(profile.output_tokens);
@@ -150,14 +153,14 @@
 
 fn service_loads<'a>(workers: impl Iterator<Item = (&'a WorkerView, u32)>) -> HashMap<&'a str, ServiceLoad> {
     let mut loads: HashMap<&str, ServiceLoad> = HashMap::new();
-    for (worker, own) in workers {
+    for (worker, outstanding) in workers {
         let load = loads.entry(worker.service.as_str()).or_default();
         if worker.state != Availability::Ready {
             continue;
         }
         load.ready_workers += 1;
         load.slots += worker.slots;
-        load.known += f64::from(worker.load_elsewhere) + f64::from(own);
+        load.known += f64::from(worker.load_elsewhere) + f64::from(outstanding);
     }
     loads
 }
--- a/src/data_plane/attempt.rs
+++ b/src/data_plane/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a connection, the request, and the head of the response.
+//! One attempt at a worker: acquiring a connection, sending the request and classifying the response head.
 
 use super::exchange::Exchange;
 use super::forwarded_request::AttemptFields;
@@ -13,41 +13,41 @@
 use switchhill_routing::{AttemptOutcome, WorkerKey};
 use tokio::time::Instant;
 
-/// What differs where a stream is taken up again.
+/// Request headers that differ when a stream is resumed.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ResumePoint {
-    /// Last event that the client has.
+    /// Id of the last event that the client has received.
     pub(crate) last_event_id: Option<u64>,
-    /// Version that the rest should have.
+    /// Version that the rest of the stream should have.
     pub(crate) expect_version: Option<u64>,
 }
 
-/// What became of an attempt.
+/// Result of an attempt.
 pub(crate) enum AttemptResult {
-    /// The worker's own response begins.
+    /// The worker responded; the head is valid and the body follows.
     Responded(Box<WorkerAnswer>),
     /// Nothing was sent.
     NotSent,
-    /// The worker did not run the request and said so with this status.
+    /// The worker proved with this status that it did not run the request.
     NotRun(StatusCode),
     /// The request may have run.
     MayHaveRun,
-    /// The deadline passed after it was sent.
+    /// The deadline passed after the request was sent.
     TimedOut,
-    /// It would be a repeat, and the budget has none left.
+    /// The attempt would be a retry, and the retry budget is exhausted.
     RetryBudgetExhausted,
 }
 
 enum SendResult {
     Response(Response<Incoming>),
     Failed(SendFailure),
-    /// All streams of the worker have stopped.
+    /// All streams of the worker have stalled, and another worker can take the request.
     WorkerStalled,
     DeadlineExceeded,
 }
 
 impl Exchange {
-    /// Sends the request to the worker. The trail says afterwards what has been tried.
+    /// Sends the request to the worker and records the attempt in the history.
     pub(crate) async fn attempt(&mut self, worker: WorkerKey, resume: ResumePoint) -> AttemptResult {
         let attempt = OutstandingAttempt::begin(&self.shared, worker, &self.profile);
         let lease = match self.lease(worker).await {
@@ -75,7 +75,8 @@
         self.shared.retry_budget.borrow_mut().try_repeat(self.shared.now(), &self.profile.service)
     }
 
-    /// A connection to the worker, as long as requests may be sent to it.
+    /// Leases a connection to the worker. Gives up when the worker stops accepting requests, when the process
+    /// ends too early for the request, or at the deadline.
     async fn lease(&self, worker: WorkerKey) -> Result<Lease, AttemptOutcome> {
         let Some((id, address)) = self.worker_address(worker) else { return Err(AttemptOutcome::Cancelled) };
         let limits = self.lease_limits();
@@ -95,13 +96,13 @@
         }
     }
 
-    /// Id and address of a worker that is still listed.
+    /// Id and address of a worker, if it is still listed.
     pub(crate) fn worker_address(&self, worker: WorkerKey) -> Option<(String, String)> {
         let router = self.shared.router.borrow();
         router.worker(worker).map(|view| (view.id.clone(), view.address.clone()))
     }
 
-    /// Bounds of a connection for this request.
+    /// Limits of a connection lease for this request.
     pub(crate) fn lease_limits(&self) -> LeaseLimits {
         let connect = self.rules.target_latency.mul_f64(policy::CONNECT_TIMEOUT_SHARE);
         LeaseLimits {
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Undoes the count of an attempt whose connection had closed. The worker may be tried on another one.
+    /// Reverts an attempt whose connection turned out to be closed before the request was sent. The worker
+    /// stays eligible and may be tried on another connection.
     fn undo_send(&mut self) -> AttemptResult {
         self.running_entry.record_not_run();
         self.history.excluded.pop();
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Notes a refusal. Its connection is kept if its body, which is short, is there.
+    /// Handles a refusal. The connection is kept if the body, which is short, arrives in time.
     async fn handle_refusal(&self, mut response: WorkerAnswer, status: StatusCode) {
         if status == StatusCode::MISDIRECTED_REQUEST {
             let worker = response.attempt.worker();
--- a/src/data_plane/delivery.rs
+++ b/src/data_plane/delivery.rs
@@ -1,4 +1,4 @@
-//! From a request to the response its client gets.
+//! Request handling: attempts on workers, and the response that is forwarded to the client.
 
 use super::answer_body::AnswerBody;
 use super::attempt::{AttemptResult, ResumePoint};
@@ -17,14 +17,14 @@
 use hyper::{Method, Response, StatusCode};
 use switchhill_routing::AttemptOutcome;
 
-/// What became of an response that was to be passed on.
+/// Result of forwarding a worker's response.
 enum ForwardResult {
     Started(Response<AnswerBody>),
     Broken(Box<Exchange>),
     TimedOut(Box<Exchange>),
 }
 
-/// Answers a request: sends it to workers until one answers or it is given up.
+/// Handles a request: sends it to workers until one responds or the request is refused.
 pub(crate) async fn handle_request(mut exchange: Exchange) -> Response<AnswerBody> {
     loop {
         let worker = match exchange.select_worker().await {
@@ -57,7 +57,7 @@
     local_response(exchange, reply)
 }
 
-/// The gatekeeper's own response to a request.
+/// Response of the gatekeeper itself, sent in place of a worker's.
 fn local_response(exchange: &mut Exchange, reply: LocalReply) -> Response<AnswerBody> {
     let promises_not_run = matches!(reply, LocalReply::NotRun { .. });
     if promises_not_run && exchange.running_entry.may_have_run() {
@@ -79,7 +79,7 @@
 
 fn forward_stream(exchange: Exchange, response: WorkerAnswer) -> Response<AnswerBody> {
     let mut head = client_response_head(&response.head);
-    // The rest may come from another worker, so its length is open.
+    // The rest may come from another worker, so the length is not known in advance.
     head.headers.remove(CONTENT_LENGTH);
     Response::from_parts(head, AnswerBody::pulled(StreamAnswer::new(exchange, response), None))
 }
@@ -124,7 +124,7 @@
     Response::from_parts(head, AnswerBody::pulled(PipedAnswer::new(exchange, response, start), length))
 }
 
-/// The head as the client gets it.
+/// Head of the response as the client receives it, without hop-by-hop headers.
 fn client_response_head(response: &Parts) -> Parts {
     let mut head = response.clone();
     head.extensions.clear();
--- a/src/data_plane/exchange.rs
+++ b/src/data_plane/exchange.rs
@@ -1,4 +1,4 @@
-//! One client request on its way to an answer.
+//! State of one client request from admission to its response.
 
 use super::admission_stage::AdmittedRequest;
 use super::counted::Counted;
@@ -17,33 +17,33 @@
 use switchhill_routing::{Choice, RequestProfile, WorkerKey};
 use tokio::time::Instant;
 
-/// What the request's route allows.
+/// What the request's route permits.
 #[derive(Debug, Clone)]
 pub(crate) struct RouteRules {
     /// The request may run more than once.
     pub(crate) idempotent: bool,
-    /// A broken stream may be taken up at another worker.
+    /// A broken stream may be resumed at another worker.
     pub(crate) resumable: bool,
-    /// Workers to which the request may be sent.
+    /// Maximum number of workers to which the request may be sent.
     pub(crate) max_workers: u32,
     pub(crate) target_latency: Duration,
     pub(crate) priority: u8,
 }
 
-/// What has been tried for a request.
+/// Attempts made for a request so far.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptHistory {
-    /// Times it was sent to a worker.
+    /// Number of times the request was sent to a worker.
     pub(crate) sent: u32,
-    /// Attempts that ended before anything was sent.
+    /// Number of attempts that ended before anything was sent.
     pub(crate) unsent: u32,
-    /// Whether one of the workers may have run it.
+    /// Whether a worker may have run the request.
     pub(crate) may_have_run: bool,
     /// Workers that are not tried again.
     pub(crate) excluded: Vec<WorkerKey>,
 }
 
-/// A request whose body is read and whose route is known.
+/// An admitted request with its whole body and its route.
 pub(crate) struct Exchange {
     pub(crate) shared: Rc<Shared>,
     pub(crate) rules: RouteRules,
@@ -62,7 +62,7 @@
 }
 
 impl RouteRules {
-    /// The rules of a route.
+    /// Rules of a route.
     pub(crate) fn of(route: &Route) -> RouteRules {
         let resumable = route.kind == RouteKind::Streaming && route.resumable;
         RouteRules {
@@ -75,32 +75,32 @@
     }
 }
 
-/// The earlier of the client's and the route's limits.
+/// Deadline of a request: the client's limit or the route's, whichever is earlier.
 pub(crate) fn deadline(arrived: Instant, head: &RequestHead, route: &Route) -> Instant {
     let timeout = Duration::from_millis(route.timeout_ms);
     arrived + head.deadline.map_or(timeout, |client| client.min(timeout))
 }
 
-/// The service for one request of the route. Requests of one session get the same one.
+/// Selects the service for a request of the route. All requests of a session get the same service.
 pub(crate) fn select_service(route: &Route, head: &RequestHead) -> String {
     let key = session_id(route, head).map_or_else(|| fastrand::u64(..), mix64);
     route.pick_service(key).to_owned()
 }
 
-/// The session is named by the last part of the prompt.
+/// Session id of a request: the id of the last part of its prompt, on routes with session affinity.
 pub(crate) fn session_id(route: &Route, head: &RequestHead) -> Option<u64> {
     let last = head.prompt_parts.last()?;
     route.session_affinity.then_some(last.id)
 }
 
-/// Spreads ids evenly over all 64-bit numbers (the finaliser of SplitMix64).
+/// Maps ids uniformly onto 64-bit numbers (the finalizer of SplitMix64).
 fn mix64(id: u64) -> u64 {
     let id = (id ^ (id >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let id = (id ^ (id >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     id ^ (id >> 31)
 }
 
-/// What the router needs to know of the request.
+/// Properties of the request that routing and admission use.
 pub(crate) fn request_profile(route: &Route, head: &RequestHead, service: String) -> RequestProfile {
     let name = head.model.clone();
     let (model, adapter) = name.map_or((None, None), |name| (Some(name.model), name.adapter));
@@ -123,7 +123,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Notes that the answer has begun or goes on.
+    /// Records that response data arrived: the first byte or a later piece.
     pub(crate) fn record_response_data(&mut self) {
         if let Some(admitted) = &mut self.admitted {
             admitted.record_first_byte(self.shared.now());
@@ -131,7 +131,7 @@
         self.timeline.piece(Instant::now());
     }
 
-    /// Whether another attempt is allowed after those made; the budget is asked when it is sent.
+    /// Whether the request may be attempted again. The retry budget is charged when the request is sent.
     pub(crate) fn may_retry(&self) -> bool {
         let may_repeat = self.rules.idempotent || !self.history.may_have_run;
         may_repeat
@@ -141,7 +141,7 @@
             && self.ends_before_shutdown()
     }
 
-    /// Whether the request may be sent once more and a worker other than those tried would take it.
+    /// Whether the request may be sent once more and a worker other than those tried could take it.
     pub(crate) fn may_retry_elsewhere(&self) -> bool {
         let allowed = self.rules.idempotent
             && self.history.sent < self.rules.max_workers
@@ -151,7 +151,7 @@
         allowed && within_budget() && matches!(self.choose_worker(), Choice::Send(_))
     }
 
-    /// The answer of a request whose time is over.
+    /// Reply to a request whose deadline has passed.
     pub(crate) fn deadline_reply(&self) -> LocalReply {
         match self.history.may_have_run {
             true => LocalReply::TimedOut,
--- a/src/data_plane/outcome.rs
+++ b/src/data_plane/outcome.rs
@@ -1,26 +1,26 @@
-//! What the head of a worker's response proves about the request.
+//! Classification of a worker's response head: what it proves about the request.
 
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_ENCODING};
 use hyper::http::response::Parts;
 use hyper::StatusCode;
 
-/// Marks a success or failure as a worker's own.
+/// Header that marks a success or a failure as produced by a worker.
 pub(crate) const RESPONSE_STAMP: &str = "response-stamp";
-/// Marks an answer to a request that the worker did not run.
+/// Header that marks a response to a request that the worker did not run.
 pub(crate) const NOT_EXECUTED: &str = "not-executed";
 
-/// Meaning of an response's head.
+/// Meaning of a response head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ResponseClass {
-    /// The worker's own answer to this request: passed on unchanged.
+    /// The worker's own response to this request; forwarded unchanged.
     Forward,
     /// Proof that the worker did not run the request.
     NotRun(StatusCode),
-    /// No response that may be passed on, and no proof: the request may have run.
+    /// Neither a response that may be forwarded nor proof that the request did not run.
     MayHaveRun,
 }
 
-/// Judges an answer to a request of this id.
+/// Classifies the response to the request with this id.
 pub(crate) fn classify(response: &Parts, request_id: Option<&HeaderValue>) -> ResponseClass {
     if !request_id_matches(&response.headers, request_id) {
         return ResponseClass::MayHaveRun;
@@ -39,7 +39,7 @@
     }
 }
 
-/// Whether a client takes the status for the promise that its request never runs.
+/// Whether a client takes the status as a promise that its request never runs.
 fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
--- a/src/data_plane/worker_choice.rs
+++ b/src/data_plane/worker_choice.rs
@@ -1,4 +1,4 @@
-//! Waiting for a worker that can run a request.
+//! Selection of a worker, including the wait for one that can run the request.
 
 use super::exchange::Exchange;
 use super::missing::{model_key, WaitingRequest};
@@ -9,8 +9,8 @@
 use tokio::time::Instant;
 
 impl Exchange {
-    /// Chooses a worker. While none holds the request's model, or none of the service is known, the request
-    /// is held as long as it can still be answered in time, and then given up.
+    /// Selects a worker. While no worker holds the request's model, or the service has no known worker, the
+    /// request waits as long as it can still be answered in time and is then refused.
     pub(crate) async fn select_worker(&mut self) -> Result<WorkerKey, LocalReply> {
         let mut waiting = None;
         loop {
@@ -48,13 +48,13 @@
         }
     }
 
-    /// The answer of a request that may not end before the process.
+    /// Reply to a request whose time limit extends past the end of the process.
     fn refuse_for_shutdown(&self) -> LocalReply {
         self.shared.statistics.borrow_mut().refusals.leaving += 1;
         self.not_run_reply(policy::RETRY_AFTER_SHUTDOWN_MS)
     }
 
-    /// The answer of a request that is given up, with advice by what the router says now.
+    /// Refuses the request. The retry advice follows the router's current state.
     pub(crate) fn refuse(&self) -> LocalReply {
         if !self.ends_before_shutdown() {
             return self.refuse_for_shutdown();
@@ -66,7 +66,7 @@
         self.refuse_after(choice)
     }
 
-    /// Tells the agent that the request's model is missing, unless it has just been told.
+    /// Reports the missing model to the agent unless it was reported recently.
     fn report_missing_model(&self, waiting: Option<&WaitingRequest>) {
         if let Some(report) = waiting.and_then(|request| request.take_report(self.shared.now())) {
             self.shared.send_feedback(report);
@@ -84,7 +84,7 @@
         self.not_run_reply(retry_after_ms)
     }
 
-    /// The promise that the request has not run, where that is so.
+    /// Reply that promises that the request has not run, or `MayHaveRun` if a worker may have run it.
     fn not_run_reply(&self, retry_after_ms: u64) -> LocalReply {
         match self.history.may_have_run {
             true => LocalReply::MayHaveRun,
@@ -106,7 +106,7 @@
         *counter += 1;
     }
 
-    /// Asks the router.
+    /// Asks the router for a worker; the router also learns which workers have an idle connection.
     pub(crate) fn choose_worker(&self) -> Choice {
         let mut router = self.shared.router.borrow_mut();
         let is_connected = |worker: &str| self.shared.pool.has_idle(worker);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Waits until something else is told of when the request's model should stand.
+    /// Waits until the expected ready time of the request's model changes.
     async fn expected_ready_time_changes(&self) {
         let Some(key) = model_key(&self.profile) else { return std::future::pending().await };
         let before = self.shared.view().expected_loads.ready_at(&key);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Until when a request is held for its model or adapter.
+    /// Time until which a request may wait for its model or adapter.
     fn model_wait_end(&self) -> Instant {
         let target_latency = self.rules.target_latency;
         if !self.shared.settings.borrow().decisions.holding.for_model {
@@ -145,8 +145,9 @@
         self.wait_end(max_wait)
     }
 
-    /// How long a request with a short objective is held: for its whole objective where the model is expected within it,
-    /// not at all where it is expected later, and for a moment while the placer has not told.
+    /// Longest wait of a request with a short latency target. It is most of the target if the model is
+    /// expected to be ready within it, zero if it is expected later, and a small share of the target while
+    /// the placer has not announced a time.
     fn max_wait_for_short_target(&self, target_latency: Duration) -> Duration {
         let Some(wait) = self.time_until_expected_load() else {
             return match &self.profile.adapter {
@@ -164,7 +165,8 @@
         }
     }
 
-    /// Time until the model or adapter should stand, if the placer has told; zero if it should stand already.
+    /// Time until the model or adapter is expected to be ready, if the placer has announced it. Zero if it is
+    /// overdue.
     fn time_until_expected_load(&self) -> Option<Duration> {
         let key = model_key(&self.profile)?;
         let ready_at = self.shared.view().expected_loads.ready_at(&key)?;
@@ -173,7 +175,7 @@
         is_still_expected.then(|| Duration::from_millis(ready_at.saturating_sub(now)))
     }
 
-    /// Until when a request is held for a first worker of its service.
+    /// Time until which a request may wait for the first worker of its service.
     fn worker_wait_end(&self) -> Instant {
         self.wait_end(policy::MAX_FIRST_WORKER_WAIT)
     }
@@ -183,7 +185,7 @@
         self.arrived + max_wait.min(timeout.mul_f64(policy::MAX_WAIT_SHARE_OF_TIMEOUT))
     }
 
-    /// When to come back for a model or adapter that stands nowhere, in milliseconds.
+    /// Retry delay in milliseconds for a model or adapter that no worker holds.
     fn retry_after_model_load_ms(&self) -> u64 {
         if let Some(wait) = self.time_until_expected_load().filter(|wait| !wait.is_zero()) {
             return wait.as_millis() as u64 + policy::RETRY_AFTER_EXPECTED_LOAD_MS;
@@ -200,7 +202,7 @@
         })
     }
 
-    /// Whether some worker holds the model, so that only its adapter has to come.
+    /// Whether some worker holds the base model, so that only the adapter has to be loaded.
     fn base_model_is_loaded(&self) -> bool {
         let Some(model) = self.profile.model.as_deref() else { return false };
         let view = self.shared.view();
