--- a/src/data_plane/expected_loads/tests.rs
+++ b/src/data_plane/expected_loads/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of expected loads and their copies.
+//! Tests of the table of expected loads and its copies.
 
 use super::{ExpectedLoads, ModelKey};
 use googletest::prelude::*;
@@ -11,8 +11,9 @@
     Arc::new(ModelKey { service, model, adapter: None })
 }
 
-/// A table is copied for each expectation that comes while the data plane holds the previous one, on every gatekeeper of
-/// the fleet. A profile of a busy day showed a fifth of a gatekeeper's processor time in copies of the names.
+/// The table is copied for each announcement while the data plane holds the previous one, on every
+/// gatekeeper. When copies did not share their keys, a profile of a busy day showed a fifth of a gatekeeper's
+/// processor time in copying names.
 #[gtest]
 fn a_modified_copy_shares_its_keys_with_the_original() {
     let keys: Vec<Arc<ModelKey>> = (0..MODELS).map(key).collect();
@@ -20,13 +21,13 @@
     for key in &keys {
         first.set(key.clone(), Some(1_000));
     }
-    let mut held = Arc::new(first);
-    let previous = held.clone();
-    Arc::make_mut(&mut held).set(key(0), Some(2_000));
-    // One is held by this test, one by each table.
+    let mut current = Arc::new(first);
+    let previous = current.clone();
+    Arc::make_mut(&mut current).set(key(0), Some(2_000));
+    // Each key has three owners: this test and both tables.
     let owners = keys.iter().map(Arc::strong_count).collect::<Vec<usize>>();
     expect_that!(owners, each(eq(&3)));
-    expect_that!((previous.ready_at(&keys[0]), held.ready_at(&keys[0])), eq((Some(1_000), Some(2_000))));
+    expect_that!((previous.ready_at(&keys[0]), current.ready_at(&keys[0])), eq((Some(1_000), Some(2_000))));
 }
 
 #[gtest]
--- a/src/data_plane/missing.rs
+++ b/src/data_plane/missing.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a model or adapter, and reports of them.
+//! Requests that wait for a model or adapter, and the reports about them.
 
 use super::expected_loads::ModelKey;
 use super::feedback::Feedback;
@@ -15,13 +15,13 @@
     reported_at: Option<u64>,
 }
 
-/// How many requests wait for each model.
+/// Number of requests that wait for each model.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct MissingModels {
     waiting: Rc<RefCell<HashMap<ModelKey, WaitingRequests>>>,
 }
 
-/// One waiting request; dropped when it goes on or gives up.
+/// A waiting request. It is counted until it is dropped.
 #[derive(Debug)]
 pub(crate) struct WaitingRequest {
     models: MissingModels,
@@ -29,7 +29,7 @@
 }
 
 impl MissingModels {
-    /// Counts a request; nothing to wait for if it names no model.
+    /// Registers a waiting request. Returns `None` if the request names no model.
     pub(crate) fn register(&self, profile: &RequestProfile) -> Option<WaitingRequest> {
         let key = model_key(profile)?;
         let mut waiting = self.waiting.borrow_mut();
@@ -41,7 +41,7 @@
         Some(WaitingRequest { models: self.clone(), key })
     }
 
-    /// Forgets models that nobody has waited for lately.
+    /// Removes models without waiting requests whose last report is old enough not to delay the next one.
     pub(crate) fn remove_stale(&self, now: u64) {
         let is_recent = |waiting: &WaitingRequests| {
             waiting.reported_at.is_some_and(|at| now.saturating_sub(at) < policy::MISSING_REPORT_INTERVAL_MS)
@@ -50,14 +50,14 @@
     }
 }
 
-/// What a request needs to stand on its worker; none if it names no model.
+/// Model or adapter that a request needs; `None` if it names no model.
 pub(crate) fn model_key(profile: &RequestProfile) -> Option<ModelKey> {
     let model = profile.model.clone()?;
     Some(ModelKey { service: profile.service.clone(), model, adapter: profile.adapter.clone() })
 }
 
 impl WaitingRequest {
-    /// The report of the model, if it is due.
+    /// Report for the model, at most one per interval.
     pub(crate) fn take_report(&self, now: u64) -> Option<Feedback> {
         let mut all = self.models.waiting.borrow_mut();
         let waiting = all.get_mut(&self.key)?;
--- a/src/data_plane/outstanding.rs
+++ b/src/data_plane/outstanding.rs
@@ -1,10 +1,11 @@
-//! One request at one worker, as the router counts it.
+//! One request outstanding at one worker, as the router counts it.
 
 use super::shared::Shared;
 use std::rc::Rc;
 use switchhill_routing::{AttemptKey, AttemptOutcome, RequestProfile, WorkerKey};
 
-/// An attempt the router knows of. Dropped without an outcome, it counts as cancelled by the client.
+/// An attempt that is registered with the router. Dropping it without an outcome counts as cancelled by the
+/// client.
 pub(crate) struct OutstandingAttempt {
     shared: Rc<Shared>,
     key: AttemptKey,
@@ -13,7 +14,7 @@
 }
 
 impl OutstandingAttempt {
-    /// Tells the router that the request is being written to a worker.
+    /// Registers with the router that the request is being sent to a worker.
     pub(crate) fn begin(
         shared: &Rc<Shared>,
         worker: WorkerKey,
@@ -23,22 +24,21 @@
         OutstandingAttempt { shared: shared.clone(), key, worker, finished: false }
     }
 
-    /// The worker.
     pub(crate) fn worker(&self) -> WorkerKey {
         self.worker
     }
 
-    /// The answer has begun.
+    /// Records the first byte of the response.
     pub(crate) fn first_byte(&self) {
         self.shared.router.borrow_mut().first_byte(self.shared.now(), self.key);
     }
 
-    /// Further bytes of the answer have come.
+    /// Records further bytes of the response.
     pub(crate) fn progress(&self) {
         self.shared.router.borrow_mut().progress(self.shared.now(), self.key);
     }
 
-    /// The attempt has finished.
+    /// Ends the attempt with an outcome.
     pub(crate) fn finish(mut self, outcome: AttemptOutcome) {
         self.end(outcome);
     }
--- a/src/data_plane/reachability.rs
+++ b/src/data_plane/reachability.rs
@@ -1,4 +1,4 @@
-//! Telling the rest of the system of workers that this gatekeeper could not reach.
+//! Reports to the agent about workers that this gatekeeper cannot reach.
 
 use super::exchange::Exchange;
 use super::feedback::Feedback;
@@ -10,14 +10,14 @@
 use std::rc::Rc;
 use switchhill_routing::WorkerKey;
 
-/// Workers of which something was lately told or is being found out, with the time of it.
+/// Time of the last report for each worker; limits the rate of reports.
 #[derive(Debug, Default)]
 pub(crate) struct ReachabilityReports {
     last: RefCell<HashMap<String, u64>>,
 }
 
 impl ReachabilityReports {
-    /// Whether the worker is due for a report; if so it counts as made.
+    /// Starts a report about the worker unless one was made within the interval. Returns whether to send it.
     fn start_report(&self, now: u64, worker: &str) -> bool {
         let mut last = self.last.borrow_mut();
         last.retain(|_, at| now.saturating_sub(*at) < policy::UNREACHABLE_REPORT_INTERVAL_MS);
@@ -30,7 +30,8 @@
 }
 
 impl Shared {
-    /// Tells the agent that no connection to the worker came up, unless it has just been told.
+    /// Reports to the agent that no connection to the worker could be established, unless it was reported
+    /// recently.
     pub(crate) fn report_unreachable(&self, worker: &str, reason: LeaseError) {
         let refused = match reason {
             LeaseError::Refused => true,
@@ -44,7 +45,8 @@
 }
 
 impl Exchange {
-    /// After a connection to the worker has failed: finds out beside this request whether it still takes any.
+    /// Probes a worker after one of its connections has failed. The probe runs in its own task and does not
+    /// delay the request.
     pub(crate) fn probe_worker(&self, worker: WorkerKey) {
         let address = self.worker_address(worker);
         let Some((id, address)) = address else { return };
