--- a/src/data_plane/drain.rs
+++ b/src/data_plane/drain.rs
@@ -1,4 +1,5 @@
-//! The end of the process and the requests: what may still be sent to a worker, and what the end cuts.
+//! Graceful shutdown as it concerns requests: which may still be sent to a worker, and which are aborted at
+//! the end.
 
 use super::exchange::Exchange;
 use super::invariants::Invariant;
@@ -10,14 +11,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Interval at which the end of the running requests is looked for.
+/// Interval at which the end of the running requests is polled.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Cut requests that are logged one by one; the rest are counted.
+/// Maximum number of aborted requests that are logged one by one; the others are only counted.
 const MAX_ABORTED_LOGGED: usize = 20;
 /// Weight of the newest request in [`FittingShare`].
 const FITTING_SHARE_WEIGHT: f64 = 1.0 / 32.0;
 
-/// Share of the requests of late whose time limits end before a process does that is told to end when they arrive.
+/// Moving average of the share of requests whose time limits would end before the process, were a shutdown to
+/// begin when they arrive.
 #[derive(Debug)]
 pub(crate) struct FittingShare(Cell<f64>);
 
@@ -35,27 +37,27 @@
 }
 
 impl Shared {
-    /// When the process ends, once it has been told to.
+    /// When the process ends, if a shutdown has begun.
     pub(crate) fn process_end(&self) -> Option<Instant> {
         let started_at = self.shutdown.started_at()?;
         Some(started_at + self.shutdown_times().end)
     }
 
-    /// Notes the time limit of a request that has arrived.
+    /// Records the time limit of a request that has arrived.
     pub(crate) fn record_time_limit(&self, time_limit: Duration) {
         let fits = time_limit + policy::LAST_RESPONSE_MARGIN <= self.shutdown_times().end;
         self.fitting_share.record(fits);
     }
 
-    /// The times that were fixed when the process was told to end, or those by the present settings.
+    /// The times fixed when the shutdown began, or else those that follow from the current settings.
     fn shutdown_times(&self) -> ShutdownTimes {
         self.fixed_shutdown_times
             .get()
             .unwrap_or_else(|| ShutdownTimes::within(self.settings.borrow().grace()))
     }
 
-    /// Fixes the times of the end. The time before SIGKILL is that of the settings in force or of their file, which may have
-    /// changed without a signal, whichever is shorter.
+    /// Fixes the shutdown times. The grace period is that of the current settings or of their file, which may
+    /// have changed without a signal, whichever is shorter.
     fn fix_shutdown_times(&self) {
         let mut grace = self.settings.borrow().grace();
         match self.settings.borrow().reread() {
@@ -67,14 +69,14 @@
 }
 
 impl Exchange {
-    /// Whether the request, sent to a worker now, is answered before the process ends: by its time limit, since nobody
-    /// can tell how long it will run. That holds for all requests of a process that has not been told to end.
+    /// Whether the request, if it is sent to a worker now, ends before the process. Its time limit decides,
+    /// since its run time is not known in advance. Always true before a shutdown.
     pub(crate) fn ends_before_shutdown(&self) -> bool {
         let process_end = self.shared.process_end();
         process_end.is_none_or(|end| self.deadline + policy::LAST_RESPONSE_MARGIN <= end)
     }
 
-    /// Waits until the request must not be sent to a worker any more for the end of the process.
+    /// Waits until the request must no longer be sent to a worker because the process is about to end.
     pub(crate) async fn shutdown_forbids_sending(&self) {
         self.shared.shutdown.reached(Phase::Draining).await;
         if self.ends_before_shutdown() {
@@ -83,13 +85,13 @@
     }
 }
 
-/// Waits for the shutdown and carries it out.
+/// Waits for a shutdown to begin and carries it out.
 pub(super) async fn shut_down(shared: &Shared) {
     shared.shutdown.reached(Phase::Draining).await;
     shared.fix_shutdown_times();
     log::info!("shutting down: {} requests in flight", shared.running_requests.count());
-    // Where most requests could outlast the process, their clients lose less by a refused connection, after which they try
-    // another gatekeeper, than by a refused request.
+    // If most requests could outlast the process, it stops accepting connections at once: clients lose less by
+    // a refused connection, after which they try another gatekeeper, than by a refused request.
     if shared.fitting_share.0.get() >= policy::MIN_FITTING_SHARE {
         tokio::time::sleep(shared.shutdown_times().drain).await;
     }
@@ -99,12 +101,13 @@
     report_aborted_requests(shared);
 }
 
-/// Waits until the connections have ended, or the time is over.
+/// Waits until all client connections have closed, or until the process has to end.
 async fn wait_for_connections(shared: &Shared) {
     let mut idle_since = Instant::now();
     while shared.process_end().is_some_and(|end| Instant::now() < end) && shared.client_connections.get() > 0
     {
-        // What runs is looked at before the time: a process that stood still finds that much time gone by at once.
+        // Activity is checked before the elapsed time: after a pause of the process, the whole pause would
+        // count as idle time.
         let is_busy = shared.running.get() > 0 || shared.unwritten_connections.get() > 0;
         if is_busy {
             idle_since = Instant::now();
@@ -115,7 +118,8 @@
     }
 }
 
-/// Logs the requests that the end of the process cuts, and checks that none of them was sent too late.
+/// Logs the requests that the end of the process aborts, and checks that none of them was sent after the
+/// shutdown began.
 fn report_aborted_requests(shared: &Shared) {
     let Some(started_at) = shared.shutdown.started_at() else { return };
     let requests = shared.running_requests.snapshot();
@@ -146,7 +150,7 @@
     )
 }
 
-/// Milliseconds after the signal; below 0 before it.
+/// Milliseconds from the signal to `moment`; negative if `moment` is earlier.
 fn ms_after_signal(moment: Instant, started_at: Instant) -> i64 {
     let after = moment.saturating_duration_since(started_at).as_millis();
     let before = started_at.saturating_duration_since(moment).as_millis();
--- a/src/data_plane/readiness.rs
+++ b/src/data_plane/readiness.rs
@@ -1,4 +1,4 @@
-//! The endpoint of the platform's readiness checks.
+//! HTTP endpoint for the platform's readiness checks.
 
 use super::answer_body::AnswerBody;
 use super::shared::Shared;
@@ -13,14 +13,13 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Path of the checks.
 const READY_PATH: &str = "/api/ready";
 /// Time after which a connection without a check is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection could not be accepted.
+/// Delay before accepting again after an error.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers checks for as long as the process lives.
+/// Serves readiness checks for the lifetime of the process.
 pub(crate) async fn serve_readiness_checks(shared: Rc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
--- a/src/data_plane/replies.rs
+++ b/src/data_plane/replies.rs
@@ -1,29 +1,29 @@
-//! Answers of the gatekeeper itself. None carries a worker's stamp.
+//! Responses that the gatekeeper generates itself. None carries a worker's `Response-Stamp`.
 
 use super::answer_body::AnswerBody;
 use super::request_head::REQUEST_ID;
 use hyper::header::{HeaderValue, CONTENT_LENGTH, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// Why the gatekeeper answers a request itself.
+/// Why the gatekeeper responds to a request itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LocalReply {
     /// No route of the configuration matches.
     NoRoute,
-    /// The body is larger than the configuration allows.
+    /// The body exceeds the configured size.
     BodyTooLarge,
     /// The body could not be read.
     BodyUnreadable,
-    /// The request is wrong in a way that every worker would refuse.
+    /// The request is malformed in a way that every worker would refuse.
     BadRequest,
-    /// The request has not run and will not; the client may come back after this many milliseconds.
+    /// The request has not run and will not run; the client may retry.
     NotRun {
-        /// When to come back.
+        /// Delay in milliseconds after which the client may retry.
         retry_after_ms: u64,
     },
     /// The request may have run, and its response is lost.
     MayHaveRun,
-    /// The request may have run or be running, and its time is over.
+    /// The request may have run or may still be running, and its deadline has passed.
     TimedOut,
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The answer to the request of this id.
+    /// Builds the response to the request with this id.
     pub(crate) fn response(self, request_id: Option<&HeaderValue>) -> Response<AnswerBody> {
         let mut response = Response::new(AnswerBody::empty());
         *response.status_mut() = self.status();
@@ -55,7 +55,7 @@
     }
 }
 
-/// Seconds with a fraction, as clients read them.
+/// `Retry-After` in seconds with a fraction, as the clients expect it.
 fn retry_after_value(milliseconds: u64) -> HeaderValue {
     let text = format!("{}.{:03}", milliseconds / 1000, milliseconds % 1000);
     HeaderValue::try_from(text).unwrap_or(HeaderValue::from_static("1"))
--- a/src/data_plane/running_requests.rs
+++ b/src/data_plane/running_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that the data plane has admitted and whose answers are not complete.
+//! Requests that have been admitted and whose responses are not complete.
 
 use hyper::header::HeaderValue;
 use std::cell::{Cell, RefCell};
@@ -6,29 +6,29 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// What is known of a request that runs.
+/// State of a running request.
 #[derive(Debug, Clone)]
 pub(crate) struct RunningRequest {
-    /// Name of its route.
+    /// Name of the request's route.
     pub(crate) route: String,
-    /// `Request-Id` of the client, if there is one.
+    /// `Request-Id` of the client, if it sent one.
     pub(crate) request_id: Option<HeaderValue>,
-    /// When its head was read.
+    /// When the request head was read.
     pub(crate) arrived_at: Instant,
-    /// When it was last sent to a worker, if it was.
+    /// When the request was last sent to a worker, if it was.
     pub(crate) sent_at: Option<Instant>,
-    /// Times it was sent to a worker that has not proved that it did not run it.
+    /// Number of times it was sent to a worker that has not proved that it did not run the request.
     pub(crate) possible_runs: u32,
 }
 
-/// All running requests of a data plane.
+/// Table of all running requests of a data plane.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RunningRequests {
     table: Rc<RefCell<BTreeMap<u64, RunningRequest>>>,
     last_key: Rc<Cell<u64>>,
 }
 
-/// Keeps a request in the table for as long as it lives.
+/// Entry of a request in the table; dropping it removes the request.
 #[derive(Debug)]
 pub(crate) struct RunningEntry {
     requests: RunningRequests,
@@ -36,7 +36,7 @@
 }
 
 impl RunningRequests {
-    /// Adds a request that was sent to no worker yet.
+    /// Adds a request that has not been sent to a worker yet.
     pub(crate) fn add(
         &self,
         route: &str,
@@ -56,19 +56,19 @@
         RunningEntry { requests: self.clone(), key }
     }
 
-    /// The requests as they stand, in the order in which they were added.
+    /// Copies of all entries, in the order in which they were added.
     pub(crate) fn snapshot(&self) -> Vec<RunningRequest> {
         self.table.borrow().values().cloned().collect()
     }
 
-    /// How many there are.
+    /// Number of running requests.
     pub(crate) fn count(&self) -> usize {
         self.table.borrow().len()
     }
 }
 
 impl RunningEntry {
-    /// Notes that the request is being sent to a worker.
+    /// Records that the request is being sent to a worker.
     pub(crate) fn record_send(&self) {
         self.update(|request| {
             request.sent_at = Some(Instant::now());
@@ -76,12 +76,12 @@
         });
     }
 
-    /// Notes a proof that the worker to which it was last sent did not run it.
+    /// Records proof that the worker to which the request was last sent did not run it.
     pub(crate) fn record_not_run(&self) {
         self.update(|request| request.possible_runs = request.possible_runs.saturating_sub(1));
     }
 
-    /// Whether a worker may have run it, or may run it later.
+    /// Whether a worker may have run the request, or may still run it.
     pub(crate) fn may_have_run(&self) -> bool {
         self.requests.table.borrow().get(&self.key).is_some_and(|request| request.possible_runs > 0)
     }
--- a/src/data_plane/shutdown.rs
+++ b/src/data_plane/shutdown.rs
@@ -1,45 +1,46 @@
-//! Phases of a process that has been told to end.
+//! Phases of a graceful shutdown.
 
 use super::policy;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How far the end of the process has come.
+/// Phase of the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Requests are taken.
+    /// Requests are accepted.
     Serving,
-    /// Not ready any more; new connections are still taken, and each answer carries `Connection: close`.
+    /// The process is not ready any more. New connections are still accepted, and each response carries
+    /// `Connection: close`.
     Draining,
-    /// No new connection is taken, idle ones are closed, running requests end.
+    /// No new connection is accepted, idle ones are closed, and running requests finish.
     Closing,
 }
 
-/// The phase, and when the process was told to end.
+/// The current phase and the time at which the shutdown began.
 #[derive(Debug, Clone, Copy)]
 struct ShutdownState {
     phase: Phase,
     started_at: Option<Instant>,
 }
 
-/// Tells a data plane to end.
+/// Starts and observes the shutdown of a data plane.
 #[derive(Debug, Clone)]
 pub struct ShutdownHandle {
     state: watch::Sender<ShutdownState>,
 }
 
-/// Times of an orderly end, both from the signal on.
+/// Durations of a graceful shutdown, both counted from the signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ShutdownTimes {
-    /// Time in which new connections are still taken.
+    /// Time during which new connections are still accepted.
     pub(crate) drain: Duration,
-    /// Time after which the process ends, whatever runs.
+    /// Time after which the process ends, even if requests are still running.
     pub(crate) end: Duration,
 }
 
 impl ShutdownTimes {
-    /// Times that fit before SIGKILL, which comes `grace` after SIGTERM.
+    /// Durations that fit into the `grace` period between SIGTERM and SIGKILL.
     pub(crate) fn within(grace: Duration) -> ShutdownTimes {
         let end = grace.saturating_sub(policy::EXIT_MARGIN);
         let drain = policy::MAX_DRAIN_TIME.min(grace.mul_f64(policy::DRAIN_SHARE)).min(end);
@@ -54,17 +55,17 @@
         }
     }
 
-    /// Starts the end; has no effect a second time.
+    /// Begins the shutdown. Later calls have no effect.
     pub fn begin(&self) {
         self.advance(Phase::Draining);
     }
 
-    /// The present phase.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.state.borrow().phase
     }
 
-    /// When the process was told to end, if it was.
+    /// When the shutdown began, if it has.
     pub(crate) fn started_at(&self) -> Option<Instant> {
         self.state.borrow().started_at
     }
@@ -80,10 +81,10 @@
         });
     }
 
-    /// Waits until the phase is reached.
+    /// Waits until the shutdown has reached the phase.
     pub async fn reached(&self, phase: Phase) {
         let mut state = self.state.subscribe();
-        // The sender lives in `self`, so waiting cannot fail.
+        // `self` keeps the sender alive, so waiting cannot fail.
         let _ = state.wait_for(|state| state.phase >= phase).await;
     }
 }
--- a/src/data_plane/signals.rs
+++ b/src/data_plane/signals.rs
@@ -1,11 +1,11 @@
-//! Signals of the platform.
+//! Handling of POSIX signals.
 
 use super::shared::Shared;
 use std::rc::Rc;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Reads the settings again at each SIGHUP. A file that cannot be read, or lacks what the present one gives, leaves the
-/// present settings in force.
+/// Reloads the settings on each SIGHUP. The current settings stay in force if the file cannot be read or
+/// lacks a setting that is set now.
 pub(crate) async fn reload_at_sighup(shared: Rc<Shared>) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
     while hangup.recv().await.is_some() {
--- a/src/data_plane/silence.rs
+++ b/src/data_plane/silence.rs
@@ -1,11 +1,11 @@
-//! Workers whose streams have all stopped, as the router sees it.
+//! Workers whose streams have all stalled, as detected by the router.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
 use switchhill_routing::WorkerKey;
 use tokio::sync::Notify;
 
-/// The workers that are silent now, and who waits to hear of it.
+/// The currently stalled workers. Attempts can wait for a worker to stall.
 #[derive(Debug, Default)]
 pub(crate) struct StalledWorkers {
     workers: RefCell<HashSet<WorkerKey>>,
@@ -13,7 +13,7 @@
 }
 
 impl StalledWorkers {
-    /// Replaces the set.
+    /// Replaces the set and wakes the waiting attempts.
     pub(crate) fn replace(&self, workers: Vec<WorkerKey>) {
         let has_stalled = !workers.is_empty();
         *self.workers.borrow_mut() = workers.into_iter().collect();
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Waits until the worker is silent.
+    /// Waits until the worker is stalled.
     pub(crate) async fn wait_for(&self, worker: WorkerKey) {
         loop {
             if self.workers.borrow().contains(&worker) {
