--- a/src/data_plane/feedback.rs
+++ b/src/data_plane/feedback.rs
@@ -1,84 +1,84 @@
-//! What the data plane tells the agent beside it.
+//! Messages from the data plane to the agent on the same machine.
 
-/// A message of the data plane to the agent.
+/// A message from the data plane to the agent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Feedback {
     /// Requests wait for a model or an adapter that no worker holds.
     Missing {
-        /// Service of the requests.
+        /// Service of the waiting requests.
         service: String,
-        /// Model they name.
+        /// Model that they name.
         model: String,
-        /// Adapter they name, where there is one.
+        /// Adapter that they name, if any.
         adapter: Option<String>,
-        /// How many wait for it here.
+        /// Number of requests that wait for it at this gatekeeper.
         waiting: u32,
-        /// Shortest latency objective among them, in milliseconds.
+        /// Shortest latency target among them, in milliseconds.
         target_latency_ms: u64,
     },
-    /// No connection to a worker came up.
+    /// No connection to a worker could be established.
     Unreachable {
         /// Id of the worker.
         worker: String,
-        /// Whether its machine refused the connection; otherwise it said nothing.
+        /// Whether the worker's machine refused the connection. Otherwise it did not respond.
         refused: bool,
     },
-    /// What has happened since the last summary.
+    /// Load and demand since the last summary.
     Summary(Summary),
 }
 
-/// Demand and load of about one second.
+/// Load and demand over the time since the last summary.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Summary {
-    /// Time that it covers, in milliseconds.
+    /// Length of the covered interval, in milliseconds.
     pub span_ms: u64,
-    /// Requests for each model that was asked for.
+    /// Demand for each requested model.
     pub demand: Vec<ModelDemand>,
-    /// Requests that are out at each worker that has any.
+    /// Outstanding requests at each worker that has any.
     pub outstanding: Vec<WorkerLoad>,
-    /// Each route that had requests.
+    /// Load of each route that had requests.
     pub routes: Vec<RouteLoad>,
 }
 
-/// Requests that named one model, or none.
+/// Demand of the requests that name the same model, or none.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelDemand {
     /// Service of the requests.
     pub service: String,
-    /// Model they named.
+    /// Model that they name, if any.
     pub model: Option<String>,
-    /// Adapter they named.
+    /// Adapter that they name, if any.
     pub adapter: Option<String>,
-    /// Requests a second, averaged over about a second.
+    /// Requests per second, averaged over about one second.
     pub requests_per_s: f64,
-    /// Tokens a second, of prompts and of answers at the most.
+    /// Tokens per second: prompt tokens plus the maximum number of output tokens.
     pub tokens_per_s: f64,
-    /// Requests without a complete answer, those that wait included.
+    /// Requests without a complete response, including those that wait.
     pub outstanding: u32,
-    /// Shortest latency objective among them, in milliseconds.
+    /// Shortest latency target among them, in milliseconds.
     pub target_latency_ms: u64,
 }
 
-/// Requests of this gatekeeper that are out at a worker.
+/// Outstanding requests of this gatekeeper at a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerLoad {
     /// Id of the worker.
     pub worker: String,
-    /// Requests without a complete answer.
+    /// Number of requests without a complete response.
     pub requests: u32,
 }
 
-/// Requests of one route.
+/// Load of one route.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RouteLoad {
     /// Name of the route.
     pub route: String,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub arrived: u32,
-    /// Those that were let through to routing.
+    /// Number of requests that were admitted.
     pub admitted: u32,
-    /// Units admitted a second, smoothed as admission does it.
+    /// Admitted units per second, smoothed by the admission controller.
     pub admitted_per_s: f64,
-    /// Worth that those admitted lose for each second of waiting, a second.
+    /// Value that the admitted requests lose per second of additional delay, as a rate per second.
     pub delay_cost_per_s: f64,
 }
--- a/src/data_plane/invariants.rs
+++ b/src/data_plane/invariants.rs
@@ -1,30 +1,31 @@
-//! What must hold at run time, checked where it could be broken. A violation is logged and counted; tests end with none.
+//! Run-time invariants, checked where they could be broken. Violations are logged and counted; tests fail if
+//! there are any.
 
 use std::cell::Cell;
 
-/// Statements about the data plane that no input may make untrue.
+/// Properties of the data plane that must hold for any input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Invariant {
-    /// No request that was sent to a worker after the process was told to end is cut by that end.
+    /// A request that was sent to a worker after the shutdown began is not aborted by the end of the process.
     DrainedRequestIsNotAborted,
-    /// No request is refused with a promise that it has not run once a worker may have run it.
+    /// A request that a worker may have run is not refused with the promise that it has not run.
     NotRunReplyIsTrue,
 }
 
-/// Violations counted so far.
+/// Counter of violations.
 #[derive(Debug, Default)]
 pub(crate) struct Violations {
     count: Cell<u32>,
 }
 
 impl Violations {
-    /// Counts a violation and logs what happened.
+    /// Counts and logs a violation.
     pub(crate) fn report(&self, invariant: Invariant, what: &str) {
         self.count.set(self.count.get() + 1);
         log::error!("invariant violated: {invariant:?}: {what}");
     }
 
-    /// Violations so far.
+    /// Number of violations so far.
     #[cfg(test)]
     pub(crate) fn count(&self) -> u32 {
         self.count.get()
--- a/src/data_plane/mod.rs
+++ b/src/data_plane/mod.rs
@@ -1,8 +1,8 @@
-//! The proxy of an edge machine: takes requests of clients, sends them to workers, passes answers on.
+//! HTTP proxy of an edge machine: accepts client requests, sends them to workers and forwards the responses.
 //!
-//! All of it runs on one thread. What it knows of the system comes as [`View`]s from the agent beside it; what
-//! the rest of the system should know goes back as [`Feedback`]. Decisions are made by the packages for
-//! admission and routing; this module carries them out on sockets.
+//! The data plane runs on a single thread. The agent on the same machine provides the state of the system as
+//! [`View`]s and receives [`Feedback`]. Decisions are made by the admission and routing crates; this module
+//! carries them out on sockets.
 
 mod admission_stage;
 mod answer_body;
--- a/src/data_plane/pool.rs
+++ b/src/data_plane/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to workers, kept for each incarnation of a worker.
+//! Connection pool for workers. Connections are kept by worker id, which identifies one incarnation of a
+//! worker.
 
 use super::connector::{Connector, TcpConnector};
 use super::policy;
@@ -12,58 +13,58 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Why no connection could be had. Nothing was sent.
+/// Why no connection could be leased. Nothing was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LeaseError {
     /// The worker's machine refused the connection.
     Refused,
-    /// The address is not one, or the connection did not come up in time.
+    /// The address is invalid, or the connection could not be established in time.
     ConnectFailed,
     /// All connections that this gatekeeper may hold to the worker are in use.
     PoolExhausted,
 }
 
-/// Connections of all workers.
+/// Pool of connections to all workers.
 #[derive(Debug)]
 pub(crate) struct Pool {
     workers: RefCell<HashMap<String, Rc<WorkerPool>>>,
-    /// Connections to all workers together.
+    /// Number of open connections to all workers.
     open: Rc<Cell<u32>>,
-    /// Bound of `open`, from the descriptors of the process.
+    /// Maximum of `open`, derived from the descriptor limit of the process.
     max_open: u32,
     connector: Rc<dyn Connector>,
 }
 
-/// Bounds of one lease.
+/// Limits of one lease.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LeaseLimits {
-    /// Connections that may be open to the worker.
+    /// Maximum number of open connections to the worker.
     pub(crate) connections: u32,
-    /// Time in which a new connection has to come up.
+    /// Timeout for establishing a new connection.
     pub(crate) connect: Duration,
 }
 
-/// Connections of one worker.
+/// Connections to one worker.
 #[derive(Debug)]
 struct WorkerPool {
     idle: RefCell<Vec<IdleConnection>>,
     count: Rc<ConnectionCount>,
 }
 
-/// How many connections a worker has, in use or at rest.
+/// Number of connections to a worker, in use or idle.
 #[derive(Debug)]
 struct ConnectionCount {
     open: Cell<u32>,
     total_open: Rc<Cell<u32>>,
-    /// Told when a connection comes to rest or closes.
+    /// Notified when a connection becomes idle or closes.
     released: Notify,
 }
 
-/// The place of one connection in the count.
+/// Counts one connection until it is dropped.
 #[derive(Debug)]
 struct ConnectionPermit(Rc<ConnectionCount>);
 
-/// A connection and its place, which is given back after the connection has closed.
+/// A connection with its permit. The permit is released after the connection has closed.
 #[derive(Debug)]
 struct CountedConnection {
     connection: WorkerConnection,
@@ -85,25 +86,25 @@
 }
 
 impl Pool {
-    /// A pool without connections, of which at most `max_open` may be open.
+    /// Creates an empty pool that opens at most `max_open` connections.
     pub(crate) fn new(max_open: u32) -> Pool {
         Pool::with_connector(Rc::new(TcpConnector), max_open)
     }
 
-    /// The same over streams of another kind.
+    /// Creates a pool whose streams come from the given connector.
     pub(crate) fn with_connector(connector: Rc<dyn Connector>, max_open: u32) -> Pool {
         Pool { workers: RefCell::default(), open: Rc::default(), max_open, connector }
     }
 
-    /// A connection to a worker: one at rest, a new one while the limits allow it, or the next that comes
-    /// free.
+    /// Leases a connection to a worker: an idle one, a new one if the limits allow it, or else the next that
+    /// becomes available.
     pub(crate) async fn lease(
         &self,
         worker_id: &str,
         address: &str,
         limits: LeaseLimits,
     ) -> Result<Lease, LeaseError> {
-        let pool = self.pool(worker_id);
+        let pool = self.worker_pool(worker_id);
         let wait_until = Instant::now() + policy::MAX_CONNECTION_WAIT;
         loop {
             if let Some(counted) = pool.take_idle() {
@@ -129,15 +130,15 @@
         WorkerConnection::over(stream).await.map_err(|_| LeaseError::ConnectFailed)
     }
 
-    /// Closes the connections at rest to a worker one of whose connections has just failed, as they are likely dead too,
-    /// and tries whether a new one comes up.
+    /// Probes a worker after one of its connections has failed. Closes its idle connections, which are likely
+    /// dead too, and tries to establish a new one.
     pub(crate) async fn probe(
         &self,
         worker_id: &str,
         address: &str,
         limits: LeaseLimits,
     ) -> Result<(), LeaseError> {
-        let pool = self.pool(worker_id);
+        let pool = self.worker_pool(worker_id);
         pool.idle.borrow_mut().clear();
         if pool.count.open.get() >= limits.connections || !self.make_room() {
             return Ok(());
@@ -148,17 +149,17 @@
         Ok(())
     }
 
-    /// Whether a connection to the worker is at rest.
+    /// Whether the pool holds an idle connection to the worker.
     pub(crate) fn has_idle(&self, worker_id: &str) -> bool {
         self.workers.borrow().get(worker_id).is_some_and(|pool| pool.idle_since().is_some())
     }
 
-    /// Drops what is idle of workers that are not among these.
+    /// Removes the idle connections of all workers that are not listed.
     pub(crate) fn retain(&self, worker_ids: &HashSet<&str>) {
         self.workers.borrow_mut().retain(|id, _| worker_ids.contains(id.as_str()));
     }
 
-    /// Drops idle connections that are closed or that their workers are about to close.
+    /// Removes idle connections that have closed or that their workers are about to close.
     pub(crate) fn drop_expired(&self) {
         let now = Instant::now();
         for pool in self.workers.borrow().values() {
@@ -166,7 +167,8 @@
         }
     }
 
-    /// Whether one more connection may be opened; the one that has rested longest makes room for it.
+    /// Whether one more connection may be opened. At the limit, closes the connection that has been idle
+    /// longest to make room.
     fn make_room(&self) -> bool {
         if self.open.get() >= self.max_open {
             self.close_longest_idle();
@@ -182,7 +184,7 @@
         }
     }
 
-    fn pool(&self, worker_id: &str) -> Rc<WorkerPool> {
+    fn worker_pool(&self, worker_id: &str) -> Rc<WorkerPool> {
         let mut workers = self.workers.borrow_mut();
         if let Some(pool) = workers.get(worker_id) {
             return pool.clone();
@@ -199,12 +201,13 @@
         WorkerPool { idle: RefCell::default(), count: Rc::new(count) }
     }
 
-    /// Since when the first of the idle connections has rested.
+    /// When the connection that has been idle longest became idle.
     fn idle_since(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|idle| idle.idle_since)
     }
 
-    /// The connection used last among those that have rested, or else the one that has rested longest.
+    /// Takes the most recently used connection among those that have settled, or else the one that has been
+    /// idle longest.
     fn take_idle(&self) -> Option<CountedConnection> {
         let now = Instant::now();
         self.drop_expired(now);
@@ -233,7 +236,8 @@
         now < self.expires_at && self.counted.connection.is_ready()
     }
 
-    /// Whether surplus bytes of the last answer would have shown by now.
+    /// Whether the connection has been idle long enough for surplus bytes after the last response to have
+    /// arrived.
     fn is_settled(&self, now: Instant) -> bool {
         now.duration_since(self.idle_since) >= policy::CONNECTION_SETTLE_TIME
     }
@@ -256,7 +260,7 @@
 }
 
 impl CountedConnection {
-    /// A new connection, counted from the first attempt on.
+    /// Establishes a connection, which is counted from the start of the attempt.
     async fn connect_within(
         limit: Duration,
         connecting: impl Future<Output = Result<WorkerConnection, LeaseError>>,
@@ -270,12 +274,12 @@
 }
 
 impl Lease {
-    /// The connection.
     pub(crate) fn connection(&mut self) -> &mut WorkerConnection {
         &mut self.counted.connection
     }
 
-    /// Puts the connection to rest after a whole answer; `idle_for` is the time the worker keeps it.
+    /// Returns the connection to the pool after a complete response. `idle_for` is the keep-alive time
+    /// announced by the worker.
     pub(crate) fn return_to_pool(self, idle_for: Option<Duration>) {
         let idle_for = idle_for.unwrap_or(policy::DEFAULT_IDLE_TIMEOUT);
         let margin = policy::IDLE_CLOSE_MARGIN.min(idle_for.mul_f64(policy::IDLE_CLOSE_MARGIN_SHARE));
--- a/src/data_plane/shared.rs
+++ b/src/data_plane/shared.rs
@@ -1,4 +1,4 @@
-//! State that all connections of the data plane share.
+//! State shared by all connections and tasks of the data plane.
 
 use super::admission_stage::AdmissionStage;
 use super::clock::now_ms;
@@ -26,7 +26,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// State of one data plane. It lives on one thread; no borrow is held across an await.
+/// Shared state of one data plane. It is confined to one thread; no `RefCell` borrow may be held across an
+/// await.
 pub(crate) struct Shared {
     pub(crate) settings: RefCell<SiteSettings>,
     pub(crate) router: RefCell<Router>,
@@ -38,21 +39,21 @@
     pub(crate) stalled_workers: StalledWorkers,
     pub(crate) shutdown: ShutdownHandle,
     pub(crate) fitting_share: FittingShare,
-    /// Times of the end, once the process has been told to end.
+    /// Shutdown times, fixed when the shutdown begins.
     pub(crate) fixed_shutdown_times: Cell<Option<ShutdownTimes>>,
     pub(crate) running_requests: RunningRequests,
     pub(crate) violations: Violations,
     pub(crate) line_budget: LineBudget,
     pub(crate) reachability: ReachabilityReports,
-    /// Told after the router has taken a new view.
+    /// Notified after the router has applied a new view.
     pub(crate) view_changed: Notify,
-    /// Told after a view has come that tells of expected loads only, which all but held requests do without.
+    /// Notified after a view has changed only the expected loads, which concern no one but waiting requests.
     pub(crate) expected_loads_changed: Notify,
-    /// Requests whose heads have been read and whose answers are not complete.
+    /// Number of requests whose heads have been read and whose responses are not complete.
     pub(crate) running: Rc<Cell<u32>>,
-    /// Open connections of clients.
+    /// Number of open client connections.
     pub(crate) client_connections: Rc<Cell<u32>>,
-    /// Those of them whose client has not taken all that was written.
+    /// Number of client connections with written data that the client has not read yet.
     pub(crate) unwritten_connections: Rc<Cell<u32>>,
     pub(crate) descriptors: DescriptorShares,
     view: RefCell<Arc<View>>,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Milliseconds of the clock that all decisions use.
+    /// Current time in milliseconds, on the clock that all decisions use.
     pub(crate) fn now(&self) -> u64 {
         now_ms()
     }
@@ -106,12 +107,12 @@
         self.view.borrow().clone()
     }
 
-    /// The newest configuration.
+    /// The newest configuration, if one has been received.
     pub(crate) fn document(&self) -> Option<Arc<Document>> {
         self.view.borrow().document.clone()
     }
 
-    /// Waits for a first configuration, no longer than told and not in a process that has been told to end.
+    /// Waits for the first configuration until the given time. Does not wait once a shutdown has begun.
     pub(crate) async fn wait_for_configuration(&self, until: Instant) {
         let may_wait = || self.shutdown.phase() == Phase::Serving && Instant::now() < until;
         while self.document().is_none() && may_wait() {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Takes a new view and wakes the requests that wait for one.
+    /// Applies a new view and wakes the requests that wait for one.
     pub(crate) fn apply_view(&self, view: Arc<View>) {
         let state_is_unchanged = view.shares_state_with(&self.view.borrow());
         if state_is_unchanged {
@@ -147,7 +148,7 @@
         self.admission.apply_view(now, &view, self.router.borrow().workers());
     }
 
-    /// Takes the workers and loads in which a view differs from the previous one.
+    /// Applies the workers and loads in which the view differs from the previous one.
     fn apply_workers(&self, now: u64, view: &View, previous: &View) {
         let same_workers = Arc::ptr_eq(&view.workers, &previous.workers);
         let mut router = self.router.borrow_mut();
@@ -179,10 +180,10 @@
         }
     }
 
-    /// Takes settings that were read again.
+    /// Applies reloaded settings.
     pub(crate) fn apply_settings(&self, settings: SiteSettings) {
         if !same_budget(&self.settings.borrow().bounds, &settings.bounds) {
-            // A new budget begins without slack, so repeats already made stay within the rule.
+            // A new budget starts without slack, so that retries already made stay within the limit.
             let mut budget = retry_budget(&settings);
             budget.set_gatekeepers(self.view.borrow().gatekeepers);
             *self.retry_budget.borrow_mut() = budget;
@@ -190,19 +191,19 @@
         *self.settings.borrow_mut() = settings;
     }
 
-    /// Whether a request may still be sent to the worker.
+    /// Whether requests may still be sent to the worker.
     pub(crate) fn may_send(&self, worker: WorkerKey) -> bool {
         self.router.borrow().may_send(self.now(), worker)
     }
 
-    /// Waits until no request may be sent to the worker any more.
+    /// Waits until requests may no longer be sent to the worker.
     pub(crate) async fn worker_becomes_unavailable(&self, worker: WorkerKey) {
         while self.may_send(worker) {
             self.view_changed.notified().await;
         }
     }
 
-    /// Connections that this gatekeeper may hold to a worker of the service.
+    /// Maximum number of connections that this gatekeeper may hold to a worker of the service.
     pub(crate) fn connection_limit(&self, service: &str) -> u32 {
         let view = self.view.borrow();
         let service = view.document.as_ref().and_then(|document| document.service(service));
@@ -212,12 +213,12 @@
         policy::MIN_CONNECTIONS_PER_WORKER.max(share as u32)
     }
 
-    /// Tells the agent something. An agent that has gone hears nothing.
+    /// Sends feedback to the agent. Dropped silently if the agent's side has ended.
     pub(crate) fn send_feedback(&self, feedback: Feedback) {
         let _ = self.feedback.send(feedback);
     }
 
-    /// The work of each second.
+    /// Periodic housekeeping.
     pub(crate) fn tick(&self) {
         let now = self.now();
         self.pool.drop_expired();
@@ -226,7 +227,7 @@
         self.admission.tick(now);
     }
 
-    /// Tells the agent of load and demand.
+    /// Sends a summary of load and demand to the agent.
     pub(crate) fn summarize(&self) {
         let now = self.now();
         let span_ms = now.saturating_sub(self.last_summary_at.replace(now));
@@ -244,7 +245,7 @@
         }));
     }
 
-    /// Logs why requests were refused since the last time.
+    /// Logs the number of refusals by reason since the last call.
     pub(crate) fn log_refusals(&self) {
         let refusals = std::mem::take(&mut self.statistics.borrow_mut().refusals);
         if refusals != Refusals::default() {
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Looks for workers whose streams have stopped.
+    /// Updates the set of stalled workers.
     pub(crate) fn check_stalled_workers(&self) {
         if !self.settings.borrow().decisions.holding.beside_silent_worker {
             return;
