--- a/src/data_plane/admission_stage.rs
+++ b/src/data_plane/admission_stage.rs
@@ -1,4 +1,5 @@
-//! Admission ahead of routing: feeds the controller and asks it.
+//! Admission control ahead of routing. Feeds the admission controller with measurements and applies its
+//! decisions.
 
 use super::feedback::RouteLoad;
 use super::policy;
@@ -10,36 +11,37 @@
 use switchhill_configuration::{Document, Route};
 use switchhill_routing::{Availability, RequestProfile, WorkerView};
 
-/// The admission stage of a gatekeeper.
+/// Admission control of one gatekeeper.
 pub(crate) struct AdmissionStage {
     controller: RefCell<Controller>,
 }
 
-/// A request that was let through; it tells the controller once how long its answer took to begin.
+/// An admitted request. It reports its time to first byte to the controller exactly once.
 pub(crate) struct AdmittedRequest {
     stage: Rc<AdmissionStage>,
     route: String,
     admitted_at: u64,
     units: f64,
     waited_for_load: bool,
-    told: bool,
+    reported: bool,
 }
 
 impl AdmissionStage {
-    /// A stage without routes.
+    /// Creates a stage without routes.
     pub(crate) fn new(settings: Settings, seed: u64) -> AdmissionStage {
         let settings = Settings { seed, ..settings };
         AdmissionStage { controller: RefCell::new(Controller::new(settings)) }
     }
 
-    /// Takes the routes of a new configuration.
-    pub(crate) fn set_document(&self, now: u64, document: &Document) {
+    /// Replaces the routes with those of a new configuration.
+    pub(crate) fn set_routes(&self, now: u64, document: &Document) {
         let terms: Vec<RouteTerms> = document.routes().iter().map(route_terms).collect();
         self.controller.borrow_mut().set_routes(now, &terms);
     }
 
-    /// Takes what a view tells of the other gatekeepers, and the workers with our requests at them.
-    pub(crate) fn set_view<'a>(
+    /// Applies the route loads of the other gatekeepers from a view, and the load of each service. `workers`
+    /// pairs each worker with the number of requests that this gatekeeper has outstanding at it.
+    pub(crate) fn apply_view<'a>(
         &self,
         now: u64,
         view: &View,
@@ -47,23 +49,23 @@
     ) {
         let mut controller = self.controller.borrow_mut();
         controller.set_gatekeepers(view.gatekeepers.max(1));
-        for told in view.loads.iter().flat_map(|loads| &loads.routes) {
-            controller.elsewhere(now, &told.route, told.summary);
+        for load in view.loads.iter().flat_map(|loads| &loads.routes) {
+            controller.elsewhere(now, &load.route, load.summary);
         }
         for (service, load) in service_loads(workers) {
             controller.set_service(now, service, load);
         }
     }
 
-    /// Decides on a request.
-    pub(crate) fn arrived(
+    /// Decides whether to admit a request. A refusal carries the retry delay in milliseconds.
+    pub(crate) fn admit(
         self: &Rc<Self>,
         now: u64,
         route: &str,
         profile: &RequestProfile,
         time_left_ms: u64,
     ) -> Result<AdmittedRequest, u64> {
-        let units = size(profile);
+        let units = request_units(profile);
         let decision = self.controller.borrow_mut().arrived(now, route, units, time_left_ms as f64);
         match decision {
             Decision::Refuse { retry_after_ms } => Err(retry_after_ms),
@@ -73,45 +75,46 @@
                 admitted_at: now,
                 units,
                 waited_for_load: false,
-                told: false,
+                reported: false,
             }),
         }
     }
 
-    /// Measures the past second.
+    /// Takes the measurements of the past second.
     pub(crate) fn tick(&self, now: u64) {
         self.controller.borrow_mut().tick(now);
     }
 
-    /// Adds what the controller tells the other gatekeepers to the routes counted.
-    pub(crate) fn complete(&self, now: u64, routes: &mut Vec<RouteLoad>) {
+    /// Adds the rates that the other gatekeepers need to the per-route counts, creating missing entries.
+    pub(crate) fn add_route_rates(&self, now: u64, routes: &mut Vec<RouteLoad>) {
         for (name, summary) in self.controller.borrow().summary(now) {
-            let place = routes.iter().position(|load| load.route == name).unwrap_or_else(|| {
+            let index = routes.iter().position(|load| load.route == name).unwrap_or_else(|| {
                 routes.push(RouteLoad { route: name, ..RouteLoad::default() });
                 routes.len() - 1
             });
-            routes[place].admitted_per_s = summary.admitted_per_s;
-            routes[place].delay_cost_per_s = summary.delay_cost_per_s;
+            routes[index].admitted_per_s = summary.admitted_per_s;
+            routes[index].delay_cost_per_s = summary.delay_cost_per_s;
         }
     }
 }
 
 impl AdmittedRequest {
-    /// The request waits for a load: its latency tells nothing of congestion.
-    pub(crate) fn waits_for_load(&mut self) {
+    /// Marks the request as waiting for a model load, so that its latency is not taken as a sign of
+    /// congestion.
+    pub(crate) fn mark_waiting_for_load(&mut self) {
         self.waited_for_load = true;
     }
 
-    /// The answer has begun.
-    pub(crate) fn first_byte(&mut self, now: u64) {
-        self.tell(now, Some(now.saturating_sub(self.admitted_at) as f64));
+    /// Reports the time to first byte.
+    pub(crate) fn record_first_byte(&mut self, now: u64) {
+        self.report_sample(now, Some(now.saturating_sub(self.admitted_at) as f64));
     }
 
-    fn tell(&mut self, now: u64, first_byte_ms: Option<f64>) {
-        if self.told {
+    fn report_sample(&mut self, now: u64, first_byte_ms: Option<f64>) {
+        if self.reported {
             return;
         }
-        self.told = true;
+        self.reported = true;
         let sample = Sample {
             first_byte_ms,
             waited_for_load: self.waited_for_load,
@@ -124,7 +127,7 @@
 
 impl Drop for AdmittedRequest {
     fn drop(&mut self) {
-        self.tell(super::clock::now_ms(), None);
+        self.report_sample(super::clock::now_ms(), None);
     }
 }
 
@@ -138,26 +141,26 @@
     }
 }
 
-/// Tokens of the prompt and weighted tokens put out.
-fn size(profile: &RequestProfile) -> f64 {
+/// Cost of a request in admission units: prompt tokens plus weighted output tokens.
+fn request_units(profile: &RequestProfile) -> f64 {
     let tokens =
         f64::from(profile.prompt_tokens) + policy::OUTPUT_TOKEN_WEIGHT * f64::from(profile.output_tokens);
     match tokens > 0.0 {
         true => tokens,
-        false => policy::SIZE_WITHOUT_TOKENS,
+        false => policy::DEFAULT_REQUEST_UNITS,
     }
 }
 
 fn service_loads<'a>(workers: impl Iterator<Item = (&'a WorkerView, u32)>) -> HashMap<&'a str, ServiceLoad> {
     let mut loads: HashMap<&str, ServiceLoad> = HashMap::new();
-    for (worker, own) in workers {
+    for (worker, outstanding) in workers {
         let load = loads.entry(worker.service.as_str()).or_default();
         if worker.state != Availability::Ready {
             continue;
         }
         load.ready_workers += 1;
         load.slots += worker.slots;
-        load.known += f64::from(worker.load_elsewhere) + f64::from(own);
+        load.known += f64::from(worker.load_elsewhere) + f64::from(outstanding);
     }
     loads
 }
--- a/src/data_plane/missing.rs
+++ b/src/data_plane/missing.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a model or adapter, and reports of them.
+//! Requests that wait for a model or adapter, and the reports about them.
 
 use super::expected_loads::ModelKey;
 use super::feedback::Feedback;
@@ -9,19 +9,19 @@
 use switchhill_routing::RequestProfile;
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct WaitingRequests {
     requests: u32,
-    aim_ms: u64,
-    told_at: Option<u64>,
+    target_latency_ms: u64,
+    reported_at: Option<u64>,
 }
 
-/// How many requests wait for each model.
+/// Number of requests that wait for each model.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct MissingModels {
-    waiting: Rc<RefCell<HashMap<ModelKey, Waiting>>>,
+    waiting: Rc<RefCell<HashMap<ModelKey, WaitingRequests>>>,
 }
 
-/// One waiting request; dropped when it goes on or gives up.
+/// A waiting request. It is counted until it is dropped.
 #[derive(Debug)]
 pub(crate) struct WaitingRequest {
     models: MissingModels,
@@ -29,47 +29,48 @@
 }
 
 impl MissingModels {
-    /// Counts a request; nothing to wait for if it names no model.
-    pub(crate) fn begin(&self, profile: &RequestProfile) -> Option<WaitingRequest> {
+    /// Registers a waiting request. Returns `None` if the request names no model.
+    pub(crate) fn register(&self, profile: &RequestProfile) -> Option<WaitingRequest> {
         let key = model_key(profile)?;
         let mut waiting = self.waiting.borrow_mut();
         let entry = waiting.entry(key.clone()).or_default();
-        entry.aim_ms = if entry.requests == 0 { profile.aim_ms } else { entry.aim_ms.min(profile.aim_ms) };
+        entry.target_latency_ms =
+            if entry.requests == 0 { profile.aim_ms } else { entry.target_latency_ms.min(profile.aim_ms) };
         entry.requests += 1;
         drop(waiting);
         Some(WaitingRequest { models: self.clone(), key })
     }
 
-    /// Forgets models that nobody has waited for lately.
-    pub(crate) fn forget_old(&self, now: u64) {
-        let is_recent = |waiting: &Waiting| {
-            waiting.told_at.is_some_and(|told| now.saturating_sub(told) < policy::MISSING_INTERVAL_MS)
+    /// Removes models without waiting requests whose last report is old enough not to delay the next one.
+    pub(crate) fn remove_stale(&self, now: u64) {
+        let is_recent = |waiting: &WaitingRequests| {
+            waiting.reported_at.is_some_and(|at| now.saturating_sub(at) < policy::MISSING_REPORT_INTERVAL_MS)
         };
         self.waiting.borrow_mut().retain(|_, waiting| waiting.requests > 0 || is_recent(waiting));
     }
 }
 
-/// What a request needs to stand on its worker; none if it names no model.
+/// Model or adapter that a request needs; `None` if it names no model.
 pub(crate) fn model_key(profile: &RequestProfile) -> Option<ModelKey> {
     let model = profile.model.clone()?;
     Some(ModelKey { service: profile.service.clone(), model, adapter: profile.adapter.clone() })
 }
 
 impl WaitingRequest {
-    /// The report of the model, if it is due.
-    pub(crate) fn report(&self, now: u64) -> Option<Feedback> {
+    /// Report for the model, at most one per interval.
+    pub(crate) fn take_report(&self, now: u64) -> Option<Feedback> {
         let mut all = self.models.waiting.borrow_mut();
         let waiting = all.get_mut(&self.key)?;
-        if waiting.told_at.is_some_and(|told| now.saturating_sub(told) < policy::MISSING_INTERVAL_MS) {
+        if waiting.reported_at.is_some_and(|at| now.saturating_sub(at) < policy::MISSING_REPORT_INTERVAL_MS) {
             return None;
         }
-        waiting.told_at = Some(now);
+        waiting.reported_at = Some(now);
         Some(Feedback::Missing {
             service: self.key.service.clone(),
             model: self.key.model.clone(),
             adapter: self.key.adapter.clone(),
             waiting: waiting.requests,
-            aim_ms: waiting.aim_ms,
+            target_latency_ms: waiting.target_latency_ms,
         })
     }
 }
--- a/src/data_plane/outcome.rs
+++ b/src/data_plane/outcome.rs
@@ -1,53 +1,53 @@
-//! What the head of a worker's answer proves about the request.
+//! Classification of a worker's response head: what it proves about the request.
 
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_ENCODING};
 use hyper::http::response::Parts;
 use hyper::StatusCode;
 
-/// Marks a success or failure as a worker's own.
+/// Header that marks a success or a failure as produced by a worker.
 pub(crate) const RESPONSE_STAMP: &str = "response-stamp";
-/// Marks an answer to a request that the worker did not run.
+/// Header that marks a response to a request that the worker did not run.
 pub(crate) const NOT_EXECUTED: &str = "not-executed";
 
-/// Meaning of an answer's head.
+/// Meaning of a response head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// The worker's own answer to this request: passed on unchanged.
-    Deliver,
+pub(crate) enum ResponseClass {
+    /// The worker's own response to this request; forwarded unchanged.
+    Forward,
     /// Proof that the worker did not run the request.
     NotRun(StatusCode),
-    /// No answer that may be passed on, and no proof: the request may have run.
+    /// Neither a response that may be forwarded nor proof that the request did not run.
     MayHaveRun,
 }
 
-/// Judges an answer to a request of this id.
-pub(crate) fn judge(answer: &Parts, request_id: Option<&HeaderValue>) -> Verdict {
-    if !belongs_to(&answer.headers, request_id) {
-        return Verdict::MayHaveRun;
+/// Classifies the response to the request with this id.
+pub(crate) fn classify(response: &Parts, request_id: Option<&HeaderValue>) -> ResponseClass {
+    if !request_id_matches(&response.headers, request_id) {
+        return ResponseClass::MayHaveRun;
     }
-    let status = answer.status;
-    if answer.headers.contains_key(NOT_EXECUTED) || status == StatusCode::MISDIRECTED_REQUEST {
-        return Verdict::NotRun(status);
+    let status = response.status;
+    if response.headers.contains_key(NOT_EXECUTED) || status == StatusCode::MISDIRECTED_REQUEST {
+        return ResponseClass::NotRun(status);
     }
-    let deliverable = !promises_not_run(status)
+    let can_forward = !implies_not_run(status)
         && !status.is_informational()
-        && !answer.headers.contains_key(CONTENT_ENCODING)
-        && (!status.is_success() || answer.headers.contains_key(RESPONSE_STAMP));
-    match deliverable {
-        true => Verdict::Deliver,
-        false => Verdict::MayHaveRun,
+        && !response.headers.contains_key(CONTENT_ENCODING)
+        && (!status.is_success() || response.headers.contains_key(RESPONSE_STAMP));
+    match can_forward {
+        true => ResponseClass::Forward,
+        false => ResponseClass::MayHaveRun,
     }
 }
 
-/// Whether a client takes the status for the promise that its request never runs.
-fn promises_not_run(status: StatusCode) -> bool {
+/// Whether a client takes the status as a promise that its request never runs.
+fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE | StatusCode::REQUEST_TIMEOUT
     )
 }
 
-fn belongs_to(headers: &HeaderMap, request_id: Option<&HeaderValue>) -> bool {
+fn request_id_matches(headers: &HeaderMap, request_id: Option<&HeaderValue>) -> bool {
     let mut ids = headers.get_all(super::request_head::REQUEST_ID).iter();
     ids.next() == request_id && ids.next().is_none()
 }
--- a/src/data_plane/shared.rs
+++ b/src/data_plane/shared.rs
@@ -1,4 +1,4 @@
-//! State that all connections of the data plane share.
+//! State shared by all connections and tasks of the data plane.
 
 use super::admission_stage::AdmissionStage;
 use super::clock::now_ms;
@@ -13,7 +13,7 @@
 use super::request_log::LineBudget;
 use super::running_requests::RunningRequests;
 use super::shutdown::{Phase, ShutdownHandle, ShutdownTimes};
-use super::silence::SilentWorkers;
+use super::silence::StalledWorkers;
 use super::statistics::{Refusals, Statistics};
 use super::view::View;
 use crate::site_settings::{Bounds, SiteSettings};
@@ -26,38 +26,39 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// State of one data plane. It lives on one thread; no borrow is held across an await.
+/// Shared state of one data plane. It is confined to one thread; no `RefCell` borrow may be held across an
+/// await.
 pub(crate) struct Shared {
     pub(crate) settings: RefCell<SiteSettings>,
     pub(crate) router: RefCell<Router>,
-    pub(crate) budget: RefCell<RetryBudget>,
+    pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) admission: Rc<AdmissionStage>,
     pub(crate) pool: Pool,
     pub(crate) statistics: RefCell<Statistics>,
-    pub(crate) missing: MissingModels,
-    pub(crate) silent: SilentWorkers,
+    pub(crate) missing_models: MissingModels,
+    pub(crate) stalled_workers: StalledWorkers,
     pub(crate) shutdown: ShutdownHandle,
     pub(crate) fitting_share: FittingShare,
-    /// Times of the end, once the process has been told to end.
-    pub(crate) end_times: Cell<Option<ShutdownTimes>>,
+    /// Shutdown times, fixed when the shutdown begins.
+    pub(crate) fixed_shutdown_times: Cell<Option<ShutdownTimes>>,
     pub(crate) running_requests: RunningRequests,
     pub(crate) violations: Violations,
     pub(crate) line_budget: LineBudget,
     pub(crate) reachability: ReachabilityReports,
-    /// Told after the router has taken a new view.
+    /// Notified after the router has applied a new view.
     pub(crate) view_changed: Notify,
-    /// Told after a view has come that tells of expected loads only, which all but held requests do without.
-    pub(crate) expected_changed: Notify,
-    /// Requests whose heads have been read and whose answers are not complete.
+    /// Notified after a view has changed only the expected loads, which concern no one but waiting requests.
+    pub(crate) expected_loads_changed: Notify,
+    /// Number of requests whose heads have been read and whose responses are not complete.
     pub(crate) running: Rc<Cell<u32>>,
-    /// Open connections of clients.
+    /// Number of open client connections.
     pub(crate) client_connections: Rc<Cell<u32>>,
-    /// Those of them whose client has not taken all that was written.
+    /// Number of client connections with written data that the client has not read yet.
     pub(crate) unwritten_connections: Rc<Cell<u32>>,
     pub(crate) descriptors: DescriptorShares,
     view: RefCell<Arc<View>>,
     feedback: UnboundedSender<Feedback>,
-    summary_at: Cell<u64>,
+    last_summary_at: Cell<u64>,
 }
 
 impl Shared {
@@ -70,33 +71,33 @@
         let descriptors = DescriptorShares::of(settings.limits.max_fds);
         Shared {
             router: RefCell::new(Router::new(router_settings(&settings), fastrand::u64(..))),
-            budget: RefCell::new(retry_budget(&settings)),
+            retry_budget: RefCell::new(retry_budget(&settings)),
             admission: Rc::new(AdmissionStage::new(settings.decisions.admission, fastrand::u64(..))),
             settings: RefCell::new(settings),
             pool: Pool::new(descriptors.workers),
             statistics: RefCell::default(),
-            missing: MissingModels::default(),
-            silent: SilentWorkers::default(),
+            missing_models: MissingModels::default(),
+            stalled_workers: StalledWorkers::default(),
             shutdown,
             fitting_share: FittingShare::default(),
-            end_times: Cell::default(),
+            fixed_shutdown_times: Cell::default(),
             running_requests: RunningRequests::default(),
             violations: Violations::default(),
             line_budget: LineBudget::default(),
             reachability: ReachabilityReports::default(),
             view_changed: Notify::new(),
-            expected_changed: Notify::new(),
+            expected_loads_changed: Notify::new(),
             running: Rc::default(),
             client_connections: Rc::default(),
             unwritten_connections: Rc::default(),
             descriptors,
             view: RefCell::default(),
             feedback,
-            summary_at: Cell::new(now_ms()),
+            last_summary_at: Cell::new(now_ms()),
         }
     }
 
-    /// Milliseconds of the clock that all decisions use.
+    /// Current time in milliseconds, on the clock that all decisions use.
     pub(crate) fn now(&self) -> u64 {
         now_ms()
     }
@@ -106,71 +107,71 @@
         self.view.borrow().clone()
     }
 
-    /// The newest configuration.
+    /// The newest configuration, if one has been received.
     pub(crate) fn document(&self) -> Option<Arc<Document>> {
         self.view.borrow().document.clone()
     }
 
-    /// Waits for a first configuration, no longer than told and not in a process that has been told to end.
-    pub(crate) async fn first_document(&self, until: Instant) {
+    /// Waits for the first configuration until the given time. Does not wait once a shutdown has begun.
+    pub(crate) async fn wait_for_configuration(&self, until: Instant) {
         let may_wait = || self.shutdown.phase() == Phase::Serving && Instant::now() < until;
         while self.document().is_none() && may_wait() {
             tokio::select! {
                 () = self.view_changed.notified() => {}
-                () = self.shutdown.reached(Phase::Leaving) => {}
+                () = self.shutdown.reached(Phase::Draining) => {}
                 () = tokio::time::sleep_until(until) => {}
             }
         }
     }
 
-    /// Takes a new view and wakes the requests that wait for one.
-    pub(crate) fn take_view(&self, view: Arc<View>) {
-        let is_same_state = view.shares_state_with(&self.view.borrow());
-        if is_same_state {
+    /// Applies a new view and wakes the requests that wait for one.
+    pub(crate) fn apply_view(&self, view: Arc<View>) {
+        let state_is_unchanged = view.shares_state_with(&self.view.borrow());
+        if state_is_unchanged {
             self.view.replace(view);
-            self.expected_changed.notify_waiters();
+            self.expected_loads_changed.notify_waiters();
         } else {
-            self.take_state(view);
+            self.apply_state(view);
             self.view_changed.notify_waiters();
         }
     }
 
-    fn take_state(&self, view: Arc<View>) {
+    fn apply_state(&self, view: Arc<View>) {
         let now = self.now();
-        self.take_document(now, &view);
-        let former = self.view.replace(view.clone());
-        self.take_workers(now, &view, &former);
+        self.apply_document(now, &view);
+        let previous = self.view.replace(view.clone());
+        self.apply_workers(now, &view, &previous);
         if view.gatekeepers > 0 {
             self.router.borrow_mut().set_gatekeepers(view.gatekeepers);
         }
-        self.budget.borrow_mut().set_gatekeepers(view.gatekeepers);
-        self.admission.set_view(now, &view, self.router.borrow().workers());
+        self.retry_budget.borrow_mut().set_gatekeepers(view.gatekeepers);
+        self.admission.apply_view(now, &view, self.router.borrow().workers());
     }
 
-    /// Takes the workers and loads in which a view differs from the former one.
-    fn take_workers(&self, now: u64, view: &View, former: &View) {
-        let same_workers = Arc::ptr_eq(&view.workers, &former.workers);
+    /// Applies the workers and loads in which the view differs from the previous one.
+    fn apply_workers(&self, now: u64, view: &View, previous: &View) {
+        let same_workers = Arc::ptr_eq(&view.workers, &previous.workers);
         let mut router = self.router.borrow_mut();
         if !same_workers {
             router.set_shared_workers(now, &view.workers);
-            let takes_requests = |state| matches!(state, Availability::Ready | Availability::Suspected);
-            let in_use = view.workers.iter().filter(|worker| takes_requests(worker.state));
+            let accepts_requests = |state| matches!(state, Availability::Ready | Availability::Suspected);
+            let in_use = view.workers.iter().filter(|worker| accepts_requests(worker.state));
             self.pool.retain(&in_use.map(|worker| worker.id.as_str()).collect());
         }
         if let Some(loads) = &view.loads {
-            if !same_workers || !view.shares_loads_with(former) {
-                router.set_loads_elsewhere(loads.told_at, &loads.requests);
+            if !same_workers || !view.shares_loads_with(previous) {
+                router.set_loads_elsewhere(loads.received_at, &loads.requests);
             }
         }
     }
 
-    fn take_document(&self, now: u64, view: &View) {
+    fn apply_document(&self, now: u64, view: &View) {
         let Some(document) = &view.document else { return };
-        let present = self.document();
-        if present.is_some_and(|present| present.revision() == document.revision()) {
+        let current = self.document();
+        if current.is_some_and(|current| current.revision() == document.revision()) {
             return;
         }
-        self.admission.set_document(now, document);
+        self.admission.set_routes(now, document);
         let mut router = self.router.borrow_mut();
         for service in document.services() {
             if let Some(engine) = &service.engine {
@@ -179,67 +180,72 @@
         }
     }
 
-    /// Takes settings that were read again.
-    pub(crate) fn take_settings(&self, settings: SiteSettings) {
+    /// Applies reloaded settings.
+    pub(crate) fn apply_settings(&self, settings: SiteSettings) {
         if !same_budget(&self.settings.borrow().bounds, &settings.bounds) {
-            // A new budget begins without slack, so repeats already made stay within the rule.
+            // A new budget starts without slack, so that retries already made stay within the limit.
             let mut budget = retry_budget(&settings);
             budget.set_gatekeepers(self.view.borrow().gatekeepers);
-            *self.budget.borrow_mut() = budget;
+            *self.retry_budget.borrow_mut() = budget;
         }
         *self.settings.borrow_mut() = settings;
     }
 
-    /// Whether a request may still be sent to the worker.
+    /// Whether requests may still be sent to the worker.
     pub(crate) fn may_send(&self, worker: WorkerKey) -> bool {
         self.router.borrow().may_send(self.now(), worker)
     }
 
-    /// Waits until no request may be sent to the worker any more.
-    pub(crate) async fn worker_leaves(&self, worker: WorkerKey) {
+    /// Waits until requests may no longer be sent to the worker.
+    pub(crate) async fn worker_becomes_unavailable(&self, worker: WorkerKey) {
         while self.may_send(worker) {
             self.view_changed.notified().await;
         }
     }
 
-    /// Connections that this gatekeeper may hold to a worker of the service.
+    /// Maximum number of connections that this gatekeeper may hold to a worker of the service.
     pub(crate) fn connection_limit(&self, service: &str) -> u32 {
         let view = self.view.borrow();
         let service = view.document.as_ref().and_then(|document| document.service(service));
-        let Some(service) = service else { return policy::LEAST_CONNECTIONS };
+        let Some(service) = service else { return policy::MIN_CONNECTIONS_PER_WORKER };
         let gatekeepers = f64::from(view.gatekeepers.max(1));
-        let share = f64::from(service.max_connections) * policy::CONNECTION_SHARE / gatekeepers;
-        policy::LEAST_CONNECTIONS.max(share as u32)
+        let share = f64::from(service.max_connections) * policy::WORKER_CONNECTION_SHARE / gatekeepers;
+        policy::MIN_CONNECTIONS_PER_WORKER.max(share as u32)
     }
 
-    /// Tells the agent something. An agent that has gone hears nothing.
-    pub(crate) fn tell(&self, feedback: Feedback) {
+    /// Sends feedback to the agent. Dropped silently if the agent's side has ended.
+    pub(crate) fn send_feedback(&self, feedback: Feedback) {
         let _ = self.feedback.send(feedback);
     }
 
-    /// The work of each second.
+    /// Periodic housekeeping.
     pub(crate) fn tick(&self) {
         let now = self.now();
         self.pool.drop_expired();
-        self.missing.forget_old(now);
-        self.admission.set_view(now, &self.view(), self.router.borrow().workers());
+        self.missing_models.remove_stale(now);
+        self.admission.apply_view(now, &self.view(), self.router.borrow().workers());
         self.admission.tick(now);
     }
 
-    /// Tells the agent of load and demand.
+    /// Sends a summary of load and demand to the agent.
     pub(crate) fn summarize(&self) {
         let now = self.now();
-        let span_ms = now.saturating_sub(self.summary_at.replace(now));
+        let span_ms = now.saturating_sub(self.last_summary_at.replace(now));
         let mut statistics = self.statistics.borrow_mut();
         let mut routes = statistics.take_routes();
-        self.admission.complete(now, &mut routes);
+        self.admission.add_route_rates(now, &mut routes);
         let demand = statistics.take_demand(span_ms);
         let outstanding = self.router.borrow().outstanding();
         let outstanding = outstanding.into_iter().map(|(worker, requests)| WorkerLoad { worker, requests });
-        self.tell(Feedback::Summary(Summary { span_ms, demand, outstanding: outstanding.collect(), routes }));
+        self.send_feedback(Feedback::Summary(Summary {
+            span_ms,
+            demand,
+            outstanding: outstanding.collect(),
+            routes,
+        }));
     }
 
-    /// Logs why requests were refused since the last time.
+    /// Logs the number of refusals by reason since the last call.
     pub(crate) fn log_refusals(&self) {
         let refusals = std::mem::take(&mut self.statistics.borrow_mut().refusals);
         if refusals != Refusals::default() {
@@ -247,19 +253,19 @@
         }
     }
 
-    /// Looks for workers whose streams have stopped.
-    pub(crate) fn look_for_silence(&self) {
+    /// Updates the set of stalled workers.
+    pub(crate) fn check_stalled_workers(&self) {
         if !self.settings.borrow().decisions.holding.beside_silent_worker {
             return;
         }
-        let silent = self.router.borrow_mut().silent_workers(self.now());
-        self.silent.replace(silent);
+        let stalled = self.router.borrow_mut().silent_workers(self.now());
+        self.stalled_workers.replace(stalled);
     }
 }
 
 fn router_settings(settings: &SiteSettings) -> RouterSettings {
     let zone = settings.zone.clone();
-    RouterSettings { silent_ms: policy::STREAM_SILENCE_MS, zone, ..settings.decisions.router.clone() }
+    RouterSettings { silent_ms: policy::STREAM_STALL_MS, zone, ..settings.decisions.router.clone() }
 }
 
 fn same_budget(one: &Bounds, other: &Bounds) -> bool {
--- a/src/data_plane/silence.rs
+++ b/src/data_plane/silence.rs
@@ -1,28 +1,28 @@
-//! Workers whose streams have all stopped, as the router sees it.
+//! Workers whose streams have all stalled, as detected by the router.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
 use switchhill_routing::WorkerKey;
 use tokio::sync::Notify;
 
-/// The workers that are silent now, and who waits to hear of it.
+/// The currently stalled workers. Attempts can wait for a worker to stall.
 #[derive(Debug, Default)]
-pub(crate) struct SilentWorkers {
+pub(crate) struct StalledWorkers {
     workers: RefCell<HashSet<WorkerKey>>,
     changed: Notify,
 }
 
-impl SilentWorkers {
-    /// Replaces the set.
+impl StalledWorkers {
+    /// Replaces the set and wakes the waiting attempts.
     pub(crate) fn replace(&self, workers: Vec<WorkerKey>) {
-        let any = !workers.is_empty();
+        let has_stalled = !workers.is_empty();
         *self.workers.borrow_mut() = workers.into_iter().collect();
-        if any {
+        if has_stalled {
             self.changed.notify_waiters();
         }
     }
 
-    /// Waits until the worker is silent.
+    /// Waits until the worker is stalled.
     pub(crate) async fn wait_for(&self, worker: WorkerKey) {
         loop {
             if self.workers.borrow().contains(&worker) {
--- a/src/data_plane/tests/rig.rs
+++ b/src/data_plane/tests/rig.rs
@@ -180,7 +180,7 @@
         let workers = Rc::new(Workers::default());
         let (tell, feedback) = mpsc::unbounded_channel();
         let mut shared = Shared::new(settings(), tell, ShutdownHandle::new());
-        shared.pool = Pool::over(Rc::new(MemoryConnector(workers.clone())), 1000);
+        shared.pool = Pool::with_connector(Rc::new(MemoryConnector(workers.clone())), 1000);
         let shared = Rc::new(shared);
         let mut tasks = JoinSet::new();
         spawn_repeated_work(&shared, &mut tasks);
@@ -194,7 +194,7 @@
 
     /// Tells a view with another configuration.
     pub(crate) fn tell_routes(&self, revision: u64, routes: &[RouteUnderTest], workers: Vec<WorkerView>) {
-        self.shared.take_view(view(revision, routes, workers));
+        self.shared.apply_view(view(revision, routes, workers));
     }
 
     /// Tells the process to end, as SIGTERM does.
@@ -269,7 +269,7 @@
         document: Some(Arc::new(document(revision, routes))),
         workers: workers.into_iter().map(Arc::new).collect(),
         loads: None,
-        expected: Arc::default(),
+        expected_loads: Arc::default(),
         gatekeepers: 1,
         confirmed: true,
     })
