--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -65,19 +65,19 @@
     }
 
     /// Tells how many gatekeepers share the budget; 0 means that it is not known.
-    pub fn set_gatekeepers(&mut self, count: u32) {
+    pub fn set_data_plane_count(&mut self, count: u32) {
         self.gatekeepers = if count == 0 { ASSUMED_GATEKEEPERS } else { count };
     }
 
     /// Counts a client's request for the service. Call it once for each, also when it is refused later.
-    pub fn request(&mut self, now: u64, service: &str) {
+    pub fn record_request(&mut self, now: u64, service: &str) {
         self.started_at.get_or_insert(now);
         self.bucket(now, service).requests += 1;
     }
 
     /// Takes one repeat out of the budget if there is one; call it before each send after a request's first.
-    pub fn try_repeat(&mut self, now: u64, service: &str) -> bool {
-        let allowed = self.may_repeat(now, service);
+    pub fn try_retry(&mut self, now: u64, service: &str) -> bool {
+        let allowed = self.can_retry(now, service);
         if allowed {
             self.bucket(now, service).repeats += 1;
         }
@@ -85,15 +85,15 @@
     }
 
     /// Whether there is a repeat in the budget, without taking it.
-    pub fn may_repeat(&mut self, now: u64, service: &str) -> bool {
+    pub fn can_retry(&mut self, now: u64, service: &str) -> bool {
         self.started_at.get_or_insert(now);
         let allowance = self.allowance(now, service);
         let repeats = self.services.get(service).map_or(0, |ledger| ledger.repeats());
         (repeats + 1) as f64 <= allowance
     }
 
-    /// Gives back a repeat taken by [`RetryBudget::try_repeat`] that was never sent.
-    pub fn give_back(&mut self, now: u64, service: &str) {
+    /// Gives back a repeat taken by [`RetryBudget::try_retry`] that was never sent.
+    pub fn return_unused(&mut self, now: u64, service: &str) {
         let bucket = self.bucket(now, service);
         bucket.repeats = bucket.repeats.saturating_sub(1);
     }
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -29,7 +29,7 @@
     /// Rank, 0 is the most urgent.
     pub priority: u8,
     /// Latency objective of its route in milliseconds.
-    pub aim_ms: u64,
+    pub target_latency_ms: u64,
     /// Session it belongs to.
     pub session: Option<u64>,
 }
@@ -47,7 +47,7 @@
     /// Send it to this worker.
     Send(WorkerKey),
     /// Workers of the service are ready, but none holds the model or the adapter.
-    Missing,
+    ModelNotLoaded,
     /// All workers that could run it are full, ejected or already tried.
     Busy {
         /// When to ask again, in milliseconds from now.
--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -138,7 +138,7 @@
 
     fn elsewhere(&self, worker: &WorkerState) -> f64 {
         let belief = belief(self.now, worker, self.settings.load_half_life_ms);
-        belief * f64::from(worker.view.load_elsewhere) + (1.0 - belief) * self.mean_elsewhere
+        belief * f64::from(worker.view.peer_load) + (1.0 - belief) * self.mean_elsewhere
     }
 
     /// Time to read the prompts that are before this one; those of others are taken to be like ours.
@@ -193,7 +193,7 @@
     let mut sum = 0.0;
     let mut count = 0.0;
     for worker in workers {
-        sum += f64::from(worker.view.load_elsewhere) * belief(now, worker, MEAN_HALF_LIFE_MS);
+        sum += f64::from(worker.view.peer_load) * belief(now, worker, MEAN_HALF_LIFE_MS);
         count += 1.0;
     }
     sum / f64::max(count, 1.0)
@@ -201,6 +201,6 @@
 
 /// How far the load told of the worker still holds: a half after `half_life_ms`.
 fn belief(now: u64, worker: &WorkerState, half_life_ms: f64) -> f64 {
-    let age = now.saturating_sub(worker.view.load_told_at) as f64;
+    let age = now.saturating_sub(worker.view.peer_load_at) as f64;
     (-age * std::f64::consts::LN_2 / half_life_ms).exp()
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -72,7 +72,7 @@
     }
 
     /// Takes what other gatekeepers have outstanding at the workers, as told at one time; those not named have none.
-    pub fn set_loads_elsewhere(&mut self, told_at: u64, loads: &HashMap<String, u32>) {
+    pub fn set_peer_loads(&mut self, told_at: u64, loads: &HashMap<String, u32>) {
         self.table.set_loads(told_at, loads);
     }
 
@@ -82,10 +82,10 @@
     }
 
     /// Updates one figure of a worker: what other gatekeepers have outstanding at it, as told at `now`.
-    pub fn set_load_elsewhere(&mut self, now: u64, key: WorkerKey, load: u32) {
+    pub fn set_peer_load(&mut self, now: u64, key: WorkerKey, load: u32) {
         if let Some(worker) = self.table.get_mut(key) {
-            worker.view.load_elsewhere = load;
-            worker.view.load_told_at = now;
+            worker.view.peer_load = load;
+            worker.view.peer_load_at = now;
         }
     }
 
@@ -95,12 +95,12 @@
     }
 
     /// Tells how many gatekeepers share the workers.
-    pub fn set_gatekeepers(&mut self, count: u32) {
+    pub fn set_data_plane_count(&mut self, count: u32) {
         self.gatekeepers = count.max(1);
     }
 
     /// Tells the memory of a service's engines in tokens, so that large requests are spread by it.
-    pub fn set_cache_tokens(&mut self, service: &str, tokens: u64) {
+    pub fn set_kv_cache_tokens(&mut self, service: &str, tokens: u64) {
         self.cache_tokens.insert(service.to_owned(), tokens);
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Notes that the worker denied holding the request's model or adapter.
-    pub fn missing_model(&mut self, now: u64, key: WorkerKey, profile: &RequestProfile) {
+    pub fn model_not_loaded(&mut self, now: u64, key: WorkerKey, profile: &RequestProfile) {
         let (Some(worker), Some(model)) = (self.table.get_mut(key), &profile.model) else { return };
         worker.deny(now, model, profile.adapter.as_deref());
     }
--- a/crates/routing/src/router/selection.rs
+++ b/crates/routing/src/router/selection.rs
@@ -101,7 +101,7 @@
         let mut age_ms = 0.0;
         for worker in keys.iter().filter_map(|key| self.table.get(*key)) {
             own_per_ms += worker.sends.per_ms(now);
-            age_ms += now.saturating_sub(worker.view.load_told_at) as f64;
+            age_ms += now.saturating_sub(worker.view.peer_load_at) as f64;
         }
         let count = keys.len().max(1) as f64;
         let unseen_ms = (age_ms / count).min(LONGEST_UNSEEN_MS);
@@ -173,7 +173,7 @@
             .filter_map(|key| self.table.get(*key))
             .any(|worker| worker.view.state == Availability::Ready);
         match any_ready {
-            true => Choice::Missing,
+            true => Choice::ModelNotLoaded,
             false => Choice::NoWorker,
         }
     }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -197,8 +197,8 @@
     /// Takes the load of all workers, as told at one time; those that are not named have none.
     pub fn set_loads(&mut self, told_at: u64, loads: &HashMap<String, u32>) {
         for worker in self.workers.values_mut() {
-            worker.view.load_elsewhere = loads.get(&worker.view.id).copied().unwrap_or(0);
-            worker.view.load_told_at = told_at;
+            worker.view.peer_load = loads.get(&worker.view.id).copied().unwrap_or(0);
+            worker.view.peer_load_at = told_at;
         }
     }
 
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -31,8 +31,8 @@
         },
         cold_remaining_ms: 0,
         models: (0..random.u64(0..4)).map(|_| resident(random)).collect(),
-        load_elsewhere: random.u32(0..3),
-        load_told_at: 0,
+        peer_load: random.u32(0..3),
+        peer_load_at: 0,
     }
 }
 
--- a/crates/routing/src/worker.rs
+++ b/crates/routing/src/worker.rs
@@ -47,9 +47,9 @@
     /// Models in its memory; empty for services without models.
     pub models: Vec<ResidentModel>,
     /// Requests that other gatekeepers have outstanding at it, as last told.
-    pub load_elsewhere: u32,
-    /// When `load_elsewhere` was told, in the router's time.
-    pub load_told_at: u64,
+    pub peer_load: u32,
+    /// When `peer_load` was told, in the router's time.
+    pub peer_load_at: u64,
 }
 
 impl WorkerView {
--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -76,11 +76,11 @@
 fn run_budgets(seed: u64, gatekeepers: usize, told: u32) -> Seen {
     let mut budgets: Vec<RetryBudget> =
         (0..gatekeepers).map(|_| RetryBudget::new(RATIO, WINDOW_MS, SLACK)).collect();
-    budgets.iter_mut().for_each(|budget| budget.set_gatekeepers(told));
+    budgets.iter_mut().for_each(|budget| budget.set_data_plane_count(told));
     run(seed, gatekeepers, |gatekeeper, now, repeat| match repeat {
-        true => budgets[gatekeeper].try_repeat(now, "chat"),
+        true => budgets[gatekeeper].try_retry(now, "chat"),
         false => {
-            budgets[gatekeeper].request(now, "chat");
+            budgets[gatekeeper].record_request(now, "chat");
             true
         }
     })
@@ -120,32 +120,32 @@
 #[gtest]
 fn services_have_budgets_of_their_own() {
     let mut budget = RetryBudget::new(RATIO, WINDOW_MS, 0.0);
-    budget.set_gatekeepers(1);
+    budget.set_data_plane_count(1);
     for _ in 0..100 {
-        budget.request(1_000, "chat");
+        budget.record_request(1_000, "chat");
     }
-    expect_that!(budget.try_repeat(1_000, "chat"), eq(true));
-    expect_that!(budget.try_repeat(1_000, "tiles"), eq(false));
+    expect_that!(budget.try_retry(1_000, "chat"), eq(true));
+    expect_that!(budget.try_retry(1_000, "tiles"), eq(false));
 }
 
 #[gtest]
 fn a_repeat_that_was_not_sent_is_given_back() {
     let mut budget = RetryBudget::new(RATIO, WINDOW_MS, 0.0);
     for _ in 0..6 {
-        budget.request(1_000, "chat");
+        budget.record_request(1_000, "chat");
     }
-    expect_that!(budget.try_repeat(1_000, "chat"), eq(true));
-    expect_that!(budget.try_repeat(1_000, "chat"), eq(false));
-    budget.give_back(1_000, "chat");
-    expect_that!(budget.try_repeat(1_000, "chat"), eq(true));
+    expect_that!(budget.try_retry(1_000, "chat"), eq(true));
+    expect_that!(budget.try_retry(1_000, "chat"), eq(false));
+    budget.return_unused(1_000, "chat");
+    expect_that!(budget.try_retry(1_000, "chat"), eq(true));
 }
 
 #[gtest]
 fn a_new_process_does_not_have_the_whole_slack_at_once() {
     let mut budget = RetryBudget::new(0.0, WINDOW_MS, SLACK);
-    budget.set_gatekeepers(1);
-    budget.request(0, "chat");
-    expect_that!(budget.try_repeat(0, "chat"), eq(false));
-    let taken = (0..100).filter(|_| budget.try_repeat(WINDOW_MS, "chat")).count();
+    budget.set_data_plane_count(1);
+    budget.record_request(0, "chat");
+    expect_that!(budget.try_retry(0, "chat"), eq(false));
+    let taken = (0..100).filter(|_| budget.try_retry(WINDOW_MS, "chat")).count();
     expect_that!(taken, eq(32));
 }
--- a/crates/routing/tests/choose.rs
+++ b/crates/routing/tests/choose.rs
@@ -46,10 +46,10 @@
     let mut router = router(1, 3);
     let mut other_model = request(0);
     other_model.model = Some("small".to_owned());
-    expect_that!(router.choose(0, &other_model, &[]), eq(Choice::Missing));
+    expect_that!(router.choose(0, &other_model, &[]), eq(Choice::ModelNotLoaded));
     let mut adapter = request(0);
     adapter.adapter = Some("coarse".to_owned());
-    expect_that!(router.choose(0, &adapter, &[]), eq(Choice::Missing));
+    expect_that!(router.choose(0, &adapter, &[]), eq(Choice::ModelNotLoaded));
     adapter.adapter = Some("fine".to_owned());
     expect_that!(router.choose(0, &adapter, &[]), matches_pattern!(Choice::Send(_)));
 }
@@ -61,7 +61,7 @@
     views[0].state = Availability::Draining;
     views[1].models.clear();
     router.set_workers(0, views);
-    expect_that!(router.choose(0, &request(0), &[]), eq(Choice::Missing));
+    expect_that!(router.choose(0, &request(0), &[]), eq(Choice::ModelNotLoaded));
 }
 
 #[gtest]
@@ -78,10 +78,14 @@
 fn a_denied_model_is_disbelieved_until_the_list_changes() {
     let mut router = router(1, 1);
     let key = chosen(&mut router, 0, &request(0), &[]);
-    router.missing_model(0, key, &request(0));
-    expect_that!(router.choose(1, &request(0), &[]), eq(Choice::Missing));
+    router.model_not_loaded(0, key, &request(0));
+    expect_that!(router.choose(1, &request(0), &[]), eq(Choice::ModelNotLoaded));
     router.set_workers(2, workers(1));
-    expect_that!(router.choose(2, &request(0), &[]), eq(Choice::Missing), "the same list tells nothing new");
+    expect_that!(
+        router.choose(2, &request(0), &[]),
+        eq(Choice::ModelNotLoaded),
+        "the same list tells nothing new"
+    );
     let mut views = workers(1);
     views[0].models[0].adapters.clear();
     router.set_workers(3, views);
@@ -94,8 +98,8 @@
     let key = chosen(&mut router, 0, &request(0), &[]);
     let mut adapter = request(0);
     adapter.adapter = Some("fine".to_owned());
-    router.missing_model(0, key, &adapter);
-    expect_that!(router.choose(1, &adapter, &[]), eq(Choice::Missing));
+    router.model_not_loaded(0, key, &adapter);
+    expect_that!(router.choose(1, &adapter, &[]), eq(Choice::ModelNotLoaded));
     expect_that!(router.choose(1, &request(0), &[]), eq(Choice::Send(key)));
 }
 
@@ -128,7 +132,7 @@
 fn requests_of_other_gatekeepers_count_until_their_figure_is_old() {
     let mut router = router(1, 2);
     let mut views = workers(2);
-    views[0].load_elsewhere = 30;
+    views[0].peer_load = 30;
     router.set_workers(0, views);
     let key = chosen(&mut router, 0, &request(0), &[]);
     expect_that!(id(&router, key), eq("w1"));
@@ -158,7 +162,7 @@
 #[gtest]
 fn memory_promised_spreads_large_requests() {
     let mut router = router(1, 2);
-    router.set_cache_tokens(SERVICE, 20_000);
+    router.set_kv_cache_tokens(SERVICE, 20_000);
     let first = chosen(&mut router, 0, &request(0), &[]);
     let second = chosen(&mut router, 0, &request(0), &[first]);
     let mut large = request(1);
@@ -310,7 +314,7 @@
 fn loads_that_are_no_longer_told_do_not_keep_a_service_busy() {
     let mut router = router(1, 2);
     let mut views = workers(2);
-    views.iter_mut().for_each(|view| view.load_elsewhere = 500);
+    views.iter_mut().for_each(|view| view.peer_load = 500);
     router.set_workers(0, views);
     expect_that!(router.choose(0, &plain_request(), &[]), matches_pattern!(Choice::Busy { .. }));
     expect_that!(router.choose(30_000, &plain_request(), &[]), matches_pattern!(Choice::Send(_)));
@@ -342,7 +346,7 @@
 fn tell_loads(router: &mut Router, now: u64, busy: &str, at_busy: u32, elsewhere: u32) {
     let load = |view: &WorkerView| if view.id == busy { at_busy } else { elsewhere };
     let loads = router.workers().map(|(view, _)| (view.id.clone(), load(view))).collect();
-    router.set_loads_elsewhere(now, &loads);
+    router.set_peer_loads(now, &loads);
 }
 
 #[gtest]
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -29,7 +29,7 @@
 #[gtest]
 fn every_model_finds_a_holder() {
     let mut router = Router::new(RouterSettings::for_zone("a"), 1);
-    router.set_gatekeepers(370);
+    router.set_data_plane_count(370);
     router.set_workers(0, fleet());
     for model in 0..MODELS {
         let profile = request_for(model);
@@ -43,7 +43,7 @@
 #[gtest]
 fn a_service_without_models_uses_all_workers() {
     let mut router = Router::new(RouterSettings::for_zone("a"), 1);
-    router.set_gatekeepers(370);
+    router.set_data_plane_count(370);
     router.set_workers(0, fleet());
     for _ in 0..5 * WORKERS {
         let profile = support::plain_request();
--- a/crates/routing/tests/support/fleet.rs
+++ b/crates/routing/tests/support/fleet.rs
@@ -121,7 +121,7 @@
         let mut keys = Vec::new();
         for gatekeeper in 0..fleet.gatekeepers {
             let mut router = Router::new(settings.clone(), seed * 1_000 + gatekeeper as u64);
-            router.set_gatekeepers(fleet.gatekeepers as u32);
+            router.set_data_plane_count(fleet.gatekeepers as u32);
             router.set_workers(0, views.clone());
             keys.push(views.iter().map(|view| router.key(&view.id).expect("listed")).collect());
             routers.push(router);
@@ -228,7 +228,7 @@
         let router = &self.routers[gatekeeper];
         let keys = &self.keys[gatekeeper];
         (0..self.fleet.workers).min_by_key(|worker| {
-            let elsewhere = router.worker(keys[*worker]).map_or(0, |view| view.load_elsewhere);
+            let elsewhere = router.worker(keys[*worker]).map_or(0, |view| view.peer_load);
             elsewhere + self.outstanding[gatekeeper][*worker]
         })
     }
@@ -321,7 +321,7 @@
                 let elsewhere = all - self.shared[version][gatekeeper][worker];
                 let key = self.keys[gatekeeper][worker];
                 let told_at = self.now - SHARE_DELAY_MS;
-                self.routers[gatekeeper].set_load_elsewhere(told_at, key, elsewhere);
+                self.routers[gatekeeper].set_peer_load(told_at, key, elsewhere);
             }
         }
     }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -19,8 +19,8 @@
         state: Availability::Ready,
         cold_remaining_ms: 0,
         models: vec![ResidentModel { name: MODEL.to_owned(), adapters: vec!["fine".to_owned()] }],
-        load_elsewhere: 0,
-        load_told_at: 0,
+        peer_load: 0,
+        peer_load_at: 0,
     }
 }
 
@@ -38,19 +38,24 @@
         prompt_tokens: 400,
         output_tokens: 200,
         priority: 1,
-        aim_ms: 400,
+        target_latency_ms: 400,
         session: None,
     }
 }
 
 /// A request without a model.
 pub fn plain_request() -> RequestProfile {
-    RequestProfile { service: SERVICE.to_owned(), priority: 2, aim_ms: 300, ..RequestProfile::default() }
+    RequestProfile {
+        service: SERVICE.to_owned(),
+        priority: 2,
+        target_latency_ms: 300,
+        ..RequestProfile::default()
+    }
 }
 
 pub fn router(seed: u64, count: usize) -> Router {
     let mut router = Router::new(RouterSettings::for_zone("a"), seed);
-    router.set_gatekeepers(1);
+    router.set_data_plane_count(1);
     router.set_workers(0, workers(count));
     router
 }
--- a/lab/src/hollow/data_plane.rs
+++ b/lab/src/hollow/data_plane.rs
@@ -157,13 +157,13 @@
     pub(super) fn take_view(&mut self, now: u64) {
         self.router.set_shared_workers(now, &self.workers.list());
         if let Some((told_at, loads)) = self.loads.take() {
-            self.router.set_loads_elsewhere(told_at, &loads);
+            self.router.set_peer_loads(told_at, &loads);
         }
     }
 }
 
 /// The router's view of a worker.
-pub(super) fn view(worker: &Worker, load_elsewhere: u32, now: u64) -> WorkerView {
+pub(super) fn view(worker: &Worker, peer_load: u32, now: u64) -> WorkerView {
     let state = match worker.state {
         WorkerState::Gone => Availability::Gone,
         WorkerState::Draining { .. } => Availability::Draining,
@@ -183,7 +183,7 @@
         state,
         cold_remaining_ms: worker.cold_remaining_ms,
         models: worker.models.iter().map(model).collect(),
-        load_elsewhere,
-        load_told_at: now,
+        peer_load,
+        peer_load_at: now,
     }
 }
--- a/lab/src/hollow/parts.rs
+++ b/lab/src/hollow/parts.rs
@@ -163,7 +163,7 @@
 
 fn measure_router(workers: &[Worker], sizes: Sizes, parts: &mut Vec<Part>) {
     let mut router = Router::new(RouterSettings::for_zone("zone-0"), 1);
-    router.set_gatekeepers(sizes.gatekeepers as u32);
+    router.set_data_plane_count(sizes.gatekeepers as u32);
     let microseconds = time(|| views(workers, 0));
     parts.push(Part { what: "views of all workers, built", bytes: None, microseconds });
     let mut now = 0;
@@ -180,7 +180,7 @@
         prompt_parts: vec![PromptPart { id: model as u64, tokens: 400 }],
         prompt_tokens: 400,
         output_tokens: 430,
-        aim_ms: 540,
+        target_latency_ms: 540,
         ..RequestProfile::default()
     };
     let mut model = 0;
--- a/src/data_plane/admission_stage.rs
+++ b/src/data_plane/admission_stage.rs
@@ -157,7 +157,7 @@
         }
         load.ready_workers += 1;
         load.slots += worker.slots;
-        load.known += f64::from(worker.load_elsewhere) + f64::from(own);
+        load.known += f64::from(worker.peer_load) + f64::from(own);
     }
     loads
 }
--- a/src/data_plane/attempt.rs
+++ b/src/data_plane/attempt.rs
@@ -72,7 +72,7 @@
     }
 
     fn take_repeat(&self) -> bool {
-        self.shared.budget.borrow_mut().try_repeat(self.shared.now(), &self.profile.service)
+        self.shared.budget.borrow_mut().try_retry(self.shared.now(), &self.profile.service)
     }
 
     /// A connection to the worker, as long as requests may be sent to it.
@@ -141,7 +141,7 @@
         self.trail.sent -= 1;
         self.trail.unsent += 1;
         if self.trail.sent > 0 {
-            self.shared.budget.borrow_mut().give_back(self.shared.now(), &self.profile.service);
+            self.shared.budget.borrow_mut().return_unused(self.shared.now(), &self.profile.service);
         }
         AttemptEnd::NotSent
     }
@@ -201,7 +201,7 @@
     async fn refused(&self, mut answer: WorkerAnswer, status: StatusCode) {
         if status == StatusCode::MISDIRECTED_REQUEST {
             let worker = answer.attempt.worker();
-            self.shared.router.borrow_mut().missing_model(self.shared.now(), worker, &self.profile);
+            self.shared.router.borrow_mut().model_not_loaded(self.shared.now(), worker, &self.profile);
         }
         let outcome = AttemptOutcome::NotExecuted(status.as_u16());
         let body = answer.read_start(policy::WHOLE_ANSWER_LIMIT);
--- a/src/data_plane/exchange.rs
+++ b/src/data_plane/exchange.rs
@@ -112,7 +112,7 @@
         prompt_tokens: head.prompt_tokens,
         output_tokens: head.output_tokens,
         priority: u8::try_from(route.priority).unwrap_or(u8::MAX),
-        aim_ms: route.target_latency_ms,
+        target_latency_ms: route.target_latency_ms,
         session: session_of(route, head),
     }
 }
@@ -146,7 +146,7 @@
         let allowed =
             self.rules.idempotent && self.trail.sent < self.rules.most_workers && self.ends_before_process();
         let in_budget =
-            || self.shared.budget.borrow_mut().may_repeat(self.shared.now(), &self.profile.service);
+            || self.shared.budget.borrow_mut().can_retry(self.shared.now(), &self.profile.service);
         allowed && in_budget() && matches!(self.choose(), Choice::Send(_))
     }
 
--- a/src/data_plane/ingress.rs
+++ b/src/data_plane/ingress.rs
@@ -178,7 +178,7 @@
     let profile = profile_of(route, head, service_of(route, head));
     let now = shared.now();
     let deadline = deadline(arrived, head, route);
-    shared.budget.borrow_mut().request(now, &profile.service);
+    shared.budget.borrow_mut().record_request(now, &profile.service);
     let running_demand = shared.statistics.borrow_mut().arrived(&route.name, &profile);
     let time_left = deadline.saturating_duration_since(Instant::now());
     let time_left_ms = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX);
--- a/src/data_plane/interleavings.rs
+++ b/src/data_plane/interleavings.rs
@@ -48,8 +48,8 @@
         state,
         cold_remaining_ms: 0,
         models: Vec::new(),
-        load_elsewhere: 0,
-        load_told_at: 0,
+        peer_load: 0,
+        peer_load_at: 0,
     };
     Arc::new(View { workers: [Arc::new(worker)].into(), gatekeepers, ..View::default() })
 }
--- a/src/data_plane/missing.rs
+++ b/src/data_plane/missing.rs
@@ -34,7 +34,11 @@
         let key = model_key(profile)?;
         let mut waiting = self.waiting.borrow_mut();
         let entry = waiting.entry(key.clone()).or_default();
-        entry.aim_ms = if entry.requests == 0 { profile.aim_ms } else { entry.aim_ms.min(profile.aim_ms) };
+        entry.aim_ms = if entry.requests == 0 {
+            profile.target_latency_ms
+        } else {
+            entry.aim_ms.min(profile.target_latency_ms)
+        };
         entry.requests += 1;
         drop(waiting);
         Some(WaitingRequest { models: self.clone(), key })
--- a/src/data_plane/shared.rs
+++ b/src/data_plane/shared.rs
@@ -141,9 +141,9 @@
         let former = self.view.replace(view.clone());
         self.take_workers(now, &view, &former);
         if view.gatekeepers > 0 {
-            self.router.borrow_mut().set_gatekeepers(view.gatekeepers);
+            self.router.borrow_mut().set_data_plane_count(view.gatekeepers);
         }
-        self.budget.borrow_mut().set_gatekeepers(view.gatekeepers);
+        self.budget.borrow_mut().set_data_plane_count(view.gatekeepers);
         self.admission.set_view(now, &view, self.router.borrow().workers());
     }
 
@@ -159,7 +159,7 @@
         }
         if let Some(loads) = &view.loads {
             if !same_workers || !view.shares_loads_with(former) {
-                router.set_loads_elsewhere(loads.told_at, &loads.requests);
+                router.set_peer_loads(loads.told_at, &loads.requests);
             }
         }
     }
@@ -174,7 +174,7 @@
         let mut router = self.router.borrow_mut();
         for service in document.services() {
             if let Some(engine) = &service.engine {
-                router.set_cache_tokens(&service.name, engine.kv_cache_tokens);
+                router.set_kv_cache_tokens(&service.name, engine.kv_cache_tokens);
             }
         }
     }
@@ -184,7 +184,7 @@
         if !same_budget(&self.settings.borrow().bounds, &settings.bounds) {
             // A new budget begins without slack, so repeats already made stay within the rule.
             let mut budget = retry_budget(&settings);
-            budget.set_gatekeepers(self.view.borrow().gatekeepers);
+            budget.set_data_plane_count(self.view.borrow().gatekeepers);
             *self.budget.borrow_mut() = budget;
         }
         *self.settings.borrow_mut() = settings;
--- a/src/data_plane/statistics.rs
+++ b/src/data_plane/statistics.rs
@@ -97,7 +97,11 @@
         demand.prompt_tokens += u64::from(profile.prompt_tokens);
         demand.output_tokens += u64::from(profile.output_tokens);
         demand.running += 1;
-        demand.aim_ms = if demand.aim_ms == 0 { profile.aim_ms } else { demand.aim_ms.min(profile.aim_ms) };
+        demand.aim_ms = if demand.aim_ms == 0 {
+            profile.target_latency_ms
+        } else {
+            demand.aim_ms.min(profile.target_latency_ms)
+        };
         drop(table);
         self.route(route).arrived += 1;
         RunningDemand { table: self.demand.clone(), key }
--- a/src/data_plane/tests/rig.rs
+++ b/src/data_plane/tests/rig.rs
@@ -397,7 +397,7 @@
         state: Availability::Ready,
         cold_remaining_ms: 0,
         models: vec![ResidentModel { name: "small".into(), adapters: Vec::new() }],
-        load_elsewhere: 0,
-        load_told_at: 0,
+        peer_load: 0,
+        peer_load_at: 0,
     }
 }
--- a/src/data_plane/tests/statistics.rs
+++ b/src/data_plane/tests/statistics.rs
@@ -10,7 +10,7 @@
         model: Some("small".into()),
         prompt_tokens: 100,
         output_tokens: 10,
-        aim_ms: 400,
+        target_latency_ms: 400,
         ..RequestProfile::default()
     }
 }
--- a/src/data_plane/worker_choice.rs
+++ b/src/data_plane/worker_choice.rs
@@ -24,10 +24,10 @@
             let hold_until = match choice {
                 Choice::Send(worker) => return Ok(worker),
                 Choice::Busy { .. } => return Err(self.give_up_after(choice)),
-                Choice::Missing => self.model_hold_end(),
+                Choice::ModelNotLoaded => self.model_hold_end(),
                 Choice::NoWorker => self.worker_hold_end(),
             };
-            if choice == Choice::Missing {
+            if choice == Choice::ModelNotLoaded {
                 waiting = waiting.or_else(|| self.shared.missing.begin(&self.profile));
                 self.report(waiting.as_ref());
             }
@@ -60,7 +60,7 @@
             return self.give_up_leaving();
         }
         let choice = self.choose();
-        if choice == Choice::Missing {
+        if choice == Choice::ModelNotLoaded {
             self.report(self.shared.missing.begin(&self.profile).as_ref());
         }
         self.give_up_after(choice)
@@ -78,7 +78,7 @@
         let retry_after_ms = match choice {
             Choice::Send(_) => policy::RETRY_AFTER_REFUSED_MS,
             Choice::Busy { retry_after_ms } => retry_after_ms,
-            Choice::Missing => self.retry_after_load_ms(),
+            Choice::ModelNotLoaded => self.retry_after_load_ms(),
             Choice::NoWorker => policy::RETRY_AFTER_NO_WORKER_MS,
         };
         self.not_run(retry_after_ms)
@@ -99,8 +99,8 @@
             _ if self.trail.may_have_run => &mut refusals.may_have_run,
             Choice::Send(_) => &mut refusals.attempts,
             Choice::Busy { .. } => &mut refusals.busy,
-            Choice::Missing if self.profile.adapter.is_some() => &mut refusals.missing_adapter,
-            Choice::Missing => &mut refusals.missing_model,
+            Choice::ModelNotLoaded if self.profile.adapter.is_some() => &mut refusals.missing_adapter,
+            Choice::ModelNotLoaded => &mut refusals.missing_model,
             Choice::NoWorker => &mut refusals.no_worker,
         };
         *counter += 1;
--- a/src/data_plane_feed/worker_views.rs
+++ b/src/data_plane_feed/worker_views.rs
@@ -62,8 +62,8 @@
         state: availability,
         cold_remaining_ms: worker.cold_remaining_ms,
         models: models(worker, state),
-        load_elsewhere: 0,
-        load_told_at: 0,
+        peer_load: 0,
+        peer_load_at: 0,
     }
 }
 
--- a/tests/data_plane_support/mod.rs
+++ b/tests/data_plane_support/mod.rs
@@ -167,7 +167,7 @@
         state: Availability::Ready,
         cold_remaining_ms: 0,
         models: models.iter().map(resident).collect(),
-        load_elsewhere: 0,
-        load_told_at: 0,
+        peer_load: 0,
+        peer_load_at: 0,
     }
 }
