--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -1,8 +1,8 @@
-//! The request a worker is chosen for, and the answer.
+//! Input and result of choosing a worker for a request.
 
 use crate::worker::WorkerKey;
 
-/// One part of a prompt. Requests with the same leading parts can share their prefilled state.
+/// One part of a prompt. Requests with the same leading parts can share cached prefill results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
     /// Id of the part's content.
@@ -11,10 +11,10 @@
     pub tokens: u32,
 }
 
-/// What the router needs to know of a request.
+/// Properties of a request that the choice of a worker depends on.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestProfile {
-    /// Service that must run it.
+    /// Service that must execute it.
     pub service: String,
     /// Model it names, if the service has models.
     pub model: Option<String>,
@@ -24,9 +24,9 @@
     pub prompt_parts: Vec<PromptPart>,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
-    /// Most tokens it may put out.
+    /// Upper bound on the tokens it generates.
     pub output_tokens: u32,
-    /// Rank, 0 is the most urgent.
+    /// Priority class; 0 is the most urgent.
     pub priority: u8,
     /// Latency objective of its route in milliseconds.
     pub target_latency_ms: u64,
@@ -35,7 +35,7 @@
 }
 
 impl RequestProfile {
-    /// Tokens it occupies in a worker's memory at its end.
+    /// Tokens it occupies in a worker's KV cache when it ends.
     pub(crate) fn total_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.output_tokens)
     }
@@ -44,11 +44,11 @@
 /// Result of [`crate::Router::choose`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// Send it to this worker.
+    /// Send the request to this worker.
     Send(WorkerKey),
-    /// Workers of the service are ready, but none holds the model or the adapter.
+    /// Workers of the service are ready, but none has loaded the model or the adapter.
     ModelNotLoaded,
-    /// All workers that could run it are full, ejected or already tried.
+    /// All workers that could execute it are full, ejected or already tried.
     Busy {
         /// When to ask again, in milliseconds from now.
         retry_after_ms: u64,
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -1,13 +1,13 @@
-//! The bound on how many workers of a service are ejected at once, and what they are compared with.
+//! Bound on how many workers of a service are ejected at once, and the comparison with the rest of the service.
 
 use crate::indexes::ServiceIndex;
 use crate::table::{WorkerState, WorkerTable};
 use crate::worker::{Availability, WorkerKey};
 
-/// A service keeps at least this part of its ready workers: one of so many may be out.
+/// Ready workers of a service per worker that may be ejected.
 const READY_PER_EJECTED: usize = 3;
 
-/// Ejects the worker, unless as many of its service are out as may be.
+/// Ejects the worker, unless its service has reached the bound on ejected workers.
 pub(crate) fn eject_within_bound(table: &mut WorkerTable, now: u64, key: WorkerKey) {
     if !may_eject(table, key) {
         return;
@@ -17,23 +17,23 @@
     }
 }
 
-/// Ends ejections, the soonest over first, where fewer workers are left than they were made for.
+/// Ends ejections, those that expire soonest first, in services that have shrunk below their bound.
 pub(crate) fn release_beyond_bound(table: &mut WorkerTable, now: u64) {
     let mut released = Vec::new();
     for service in table.services() {
         let mut ejected = ejected(table, service);
-        let excess = ejected.len().saturating_sub(most_ejected(table, service));
+        let excess = ejected.len().saturating_sub(max_ejected(table, service));
         ejected.sort_by_key(|key| table.get(*key).and_then(|worker| worker.health.ejected_until()));
         released.extend(ejected.into_iter().take(excess));
     }
     for key in released {
         if let Some(worker) = table.get_mut(key) {
-            worker.health.release(now);
+            worker.health.end_ejection(now);
         }
     }
 }
 
-/// Failures and outcomes of the other workers of the same service.
+/// Failures and total outcomes of the other workers of the same service.
 pub(crate) fn outcomes_of_others(table: &WorkerTable, now: u64, key: WorkerKey) -> (f64, f64) {
     let service = table.get(key).and_then(|worker| table.service(&worker.view.service));
     let members = service.map_or(&[][..], |service| &service.members);
@@ -50,11 +50,11 @@
         return true;
     }
     let service = table.service(&worker.view.service);
-    service.is_some_and(|service| ejected(table, service).len() < most_ejected(table, service))
+    service.is_some_and(|service| ejected(table, service).len() < max_ejected(table, service))
 }
 
-/// Most workers of a service that may be out at once: a third, but one of two.
-fn most_ejected(table: &WorkerTable, service: &ServiceIndex) -> usize {
+/// How many workers of a service may be ejected at once: a third of the ready ones, but one of two.
+fn max_ejected(table: &WorkerTable, service: &ServiceIndex) -> usize {
     let members = service.members.iter().filter_map(|key| table.get(*key));
     let ready = members.filter(|worker| is_ready(worker)).count();
     match ready {
@@ -65,11 +65,11 @@
 
 /// Ready workers of the service that are ejected.
 fn ejected(table: &WorkerTable, service: &ServiceIndex) -> Vec<WorkerKey> {
-    let is_out = |key: &WorkerKey| {
+    let is_ejected = |key: &WorkerKey| {
         let worker = table.get(*key);
         worker.is_some_and(|worker| is_ready(worker) && worker.health.is_ejected())
     };
-    service.members.iter().copied().filter(is_out).collect()
+    service.members.iter().copied().filter(is_ejected).collect()
 }
 
 fn is_ready(worker: &WorkerState) -> bool {
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,64 +1,64 @@
-//! What a worker's answers say about its health: failures, ejection, trials, and rests.
+//! Health of a worker as its responses show it: failures, ejection, trials, and backoff.
 //!
-//! An ejected worker gets nothing until its ejection ends; then a single trial request decides whether it
-//! returns or is ejected for twice as long. A rest is milder: after a refused connection or a rejection by
-//! a full worker, others are preferred for a moment.
+//! An ejected worker gets no requests until its ejection ends; then a single trial request (the half-open state of a
+//! circuit breaker) decides whether it returns or is ejected for twice as long. Backoff is milder: after a failed
+//! connection or a rejection by a full worker, other workers are preferred for a moment.
 
 use crate::attempt::{Attempt, AttemptKey, AttemptOutcome};
 
-/// First and longest ejection.
+/// First and longest duration of an ejection.
 const EJECTION_MS: (u64, u64) = (1_000, 8_000);
-/// Failures within the memory of the window that an ejection needs.
-const EJECTION_FAILURES: f64 = 2.6;
-/// Failures without a success between them that eject, whatever the share: a worker that served well until
-/// it froze would keep a good share for long.
-const EJECTION_IN_ROW: u32 = 3;
-/// Failure share of the rest of the service from which failures in a row say nothing of one worker.
-const SERVICE_FAILS_SHARE: f64 = 0.3;
-/// Least failure share of an ejected worker.
-const EJECTION_SHARE: f64 = 0.3;
-/// How many times the share of the rest of its service a worker's failure share must be.
-const EJECTION_TIMES_OTHERS: f64 = 3.0;
-/// A worker with this failure share may be ejected however badly the others fare.
-const MOST_SHARE_NEEDED: f64 = 0.95;
+/// Least decayed count of failures for an ejection by failure rate.
+const MIN_FAILURES: f64 = 2.6;
+/// Failures without a success between them that eject regardless of the failure rate: a worker that froze after
+/// serving well would keep a low failure rate for long.
+const CONSECUTIVE_FAILURES: u32 = 3;
+/// Failure rate of the rest of the service from which consecutive failures are no evidence against a single worker.
+const SERVICE_FAILURE_RATE: f64 = 0.3;
+/// Least failure rate for an ejection.
+const MIN_FAILURE_RATE: f64 = 0.3;
+/// Least failure rate for an ejection, as a multiple of the failure rate of the rest of the service.
+const FAILURE_RATE_FACTOR: f64 = 3.0;
+/// A worker with this failure rate may be ejected however high that of the rest of the service is.
+const MAX_REQUIRED_FAILURE_RATE: f64 = 0.95;
 /// Distinct clients or sessions that must have seen the failures.
-const EJECTION_ORIGINS: usize = 2;
-/// Time in which counts of the window halve.
-const WINDOW_HALF_LIFE_MS: f64 = 6_000.0;
-/// First and longest rest after a failed connection.
-const CONNECT_REST_MS: (u64, u64) = (300, 4_800);
-/// First and longest rest after a rejection by a full worker.
-const FULL_REST_MS: (u64, u64) = (50, 150);
-/// Time after an ejection from which the next one starts short again.
-const CALM_AFTER_MS: u64 = 20_000;
-/// How recently a suspected worker must have answered to be used.
-const GOOD_EVIDENCE_MS: u64 = 3_000;
+const MIN_FAILING_CLIENTS: usize = 2;
+/// Half-life of the outcome counts.
+const OUTCOME_HALF_LIFE_MS: f64 = 6_000.0;
+/// First and longest backoff after a failed connection.
+const CONNECT_BACKOFF_MS: (u64, u64) = (300, 4_800);
+/// First and longest backoff after a rejection by a full worker.
+const FULL_BACKOFF_MS: (u64, u64) = (50, 150);
+/// Time after an ejection from which the next one starts at the shortest duration again.
+const EJECTION_RESET_MS: u64 = 20_000;
+/// How recently a suspected worker must have responded to be used.
+const RECENT_RESPONSE_MS: u64 = 3_000;
 
 /// Whether a worker may be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// Nothing speaks against it.
-    Good,
-    /// Others are preferred until the time given: its connections failed.
+pub(crate) enum Eligibility {
+    /// It may be chosen.
+    Eligible,
+    /// Others are preferred until the time given, because connections to it failed.
     Unreachable(u64),
-    /// Others are preferred until the time given: it was full.
+    /// Others are preferred until the time given, because it was full.
     Full(u64),
-    /// It gets nothing until the time given (`u64::MAX`: until its trial ends).
+    /// It gets no requests until the time given (`u64::MAX`: until its trial ends).
     Ejected(u64),
 }
 
-/// Decaying counts of outcomes.
+/// Exponentially decaying counts of outcomes.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct OutcomeCounts {
     successes: f64,
     failures: f64,
-    at: u64,
+    updated_at: u64,
 }
 
 impl OutcomeCounts {
     /// Adds one outcome.
     pub fn add(&mut self, now: u64, failure: bool) {
-        self.fade(now);
+        self.decay(now);
         if failure {
             self.failures += 1.0;
         } else {
@@ -66,71 +66,71 @@
         }
     }
 
-    /// Failures and all outcomes, faded to `now`.
+    /// Failures and total outcomes, decayed to `now`.
     pub fn failures_and_total(&self, now: u64) -> (f64, f64) {
         let mut counts = *self;
-        counts.fade(now);
+        counts.decay(now);
         (counts.failures, counts.failures + counts.successes)
     }
 
-    fn fade(&mut self, now: u64) {
-        let age = now.saturating_sub(self.at) as f64;
-        let factor = (-age * std::f64::consts::LN_2 / WINDOW_HALF_LIFE_MS).exp();
+    fn decay(&mut self, now: u64) {
+        let age = now.saturating_sub(self.updated_at) as f64;
+        let factor = (-age * std::f64::consts::LN_2 / OUTCOME_HALF_LIFE_MS).exp();
         self.successes *= factor;
         self.failures *= factor;
-        self.at = now.max(self.at);
+        self.updated_at = now.max(self.updated_at);
     }
 }
 
-/// A pause that doubles with each failure in a row.
+/// Exponential backoff: its length doubles with each consecutive failure.
 #[derive(Debug, Default, Clone, Copy)]
-struct Rest {
+struct Backoff {
     until: u64,
-    in_row: u32,
+    consecutive: u32,
 }
 
-impl Rest {
+impl Backoff {
     fn extend(&mut self, now: u64, bounds: (u64, u64)) {
-        let length = (bounds.0 << self.in_row.min(10)).min(bounds.1);
-        // Failures of requests that were under way together are one failure, not several in a row.
+        let length = (bounds.0 << self.consecutive.min(10)).min(bounds.1);
+        // Failures of concurrent requests count as one failure, not as several consecutive ones.
         if now >= self.until {
-            self.in_row += 1;
+            self.consecutive += 1;
         }
         self.until = self.until.max(now + length);
     }
 }
 
-/// Health of one worker as its answers show it.
+/// Health of one worker.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
     counts: OutcomeCounts,
-    /// Clients or sessions that saw failures since the last calm, up to as many as an ejection needs.
-    origins: Vec<u64>,
-    in_row: u32,
-    unreachable: Rest,
-    full: Rest,
+    /// Clients or sessions that saw failures since the counts were last reset, at most `MIN_FAILING_CLIENTS`.
+    failing_clients: Vec<u64>,
+    consecutive_failures: u32,
+    connect_backoff: Backoff,
+    full_backoff: Backoff,
     ejected_until: Option<u64>,
     ejected_at: u64,
     ejection_ms: u64,
     trial: Option<AttemptKey>,
-    last_good_at: Option<u64>,
+    last_response_at: Option<u64>,
 }
 
 impl Health {
     /// Whether it may be chosen at `now`.
-    pub fn standing(&self, now: u64) -> Standing {
+    pub fn eligibility(&self, now: u64) -> Eligibility {
         if self.trial.is_some() {
-            return Standing::Ejected(u64::MAX);
+            return Eligibility::Ejected(u64::MAX);
         }
         match self.ejected_until {
-            Some(until) if now < until => Standing::Ejected(until),
-            _ if now < self.unreachable.until => Standing::Unreachable(self.unreachable.until),
-            _ if now < self.full.until => Standing::Full(self.full.until),
-            _ => Standing::Good,
+            Some(until) if now < until => Eligibility::Ejected(until),
+            _ if now < self.connect_backoff.until => Eligibility::Unreachable(self.connect_backoff.until),
+            _ if now < self.full_backoff.until => Eligibility::Full(self.full_backoff.until),
+            _ => Eligibility::Eligible,
         }
     }
 
-    /// Whether it is ejected, its trial included.
+    /// Whether it is ejected; it stays so until its trial has ended.
     pub fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
@@ -141,9 +141,9 @@
     }
 
     /// Ends its ejection without a trial.
-    pub fn release(&mut self, now: u64) {
+    pub fn end_ejection(&mut self, now: u64) {
         self.ejected_until = None;
-        self.forget_outcomes(now);
+        self.reset_outcomes(now);
     }
 
     /// Whether a trial is allowed before the end of a long ejection, if no other worker is left.
@@ -151,14 +151,14 @@
         self.is_ejected() && self.trial.is_none() && now >= self.ejected_at + EJECTION_MS.0
     }
 
-    /// Whether an answer came lately and nothing has failed since.
-    pub fn has_good_evidence(&self, now: u64) -> bool {
-        let recent = self.last_good_at.is_some_and(|at| now.saturating_sub(at) <= GOOD_EVIDENCE_MS);
-        recent && self.standing(now) == Standing::Good && !self.is_ejected()
+    /// Whether it responded recently and is neither ejected nor in backoff.
+    pub fn responded_recently(&self, now: u64) -> bool {
+        let recent = self.last_response_at.is_some_and(|at| now.saturating_sub(at) <= RECENT_RESPONSE_MS);
+        recent && self.eligibility(now) == Eligibility::Eligible && !self.is_ejected()
     }
 
-    /// Notes a request sent; returns whether it is the trial of an ejected worker.
-    pub fn sent(&mut self, attempt: AttemptKey) -> bool {
+    /// Records that a request was sent; returns whether it is the trial of an ejected worker.
+    pub fn request_sent(&mut self, attempt: AttemptKey) -> bool {
         let is_trial = self.is_ejected() && self.trial.is_none();
         if is_trial {
             self.trial = Some(attempt);
@@ -166,15 +166,15 @@
         is_trial
     }
 
-    /// Notes that bytes of an answer came.
-    pub fn heard(&mut self, now: u64) {
-        self.last_good_at = Some(now);
-        self.unreachable = Rest::default();
+    /// Records that a part of a response arrived.
+    pub fn response_received(&mut self, now: u64) {
+        self.last_response_at = Some(now);
+        self.connect_backoff = Backoff::default();
     }
 
-    /// Takes in the outcome of an attempt and returns whether the worker now looks faulty next to `others`,
-    /// the failures and outcomes of the rest of its service.
-    pub fn finished(
+    /// Records the outcome of an attempt and returns whether the worker is to be ejected, given `others`, the
+    /// failures and total outcomes of the rest of its service.
+    pub fn attempt_finished(
         &mut self,
         now: u64,
         attempt: &Attempt,
@@ -182,87 +182,89 @@
         others: (f64, f64),
     ) -> bool {
         match outcome {
-            AttemptOutcome::Success => self.succeeded(now),
-            AttemptOutcome::WorkerError(status) if status < 500 => self.succeeded(now),
+            AttemptOutcome::Success => self.record_success(now),
+            AttemptOutcome::WorkerError(status) if status < 500 => self.record_success(now),
             AttemptOutcome::WorkerError(_) | AttemptOutcome::Broken | AttemptOutcome::TimedOut => {
-                self.failed(now, attempt.origin);
+                self.record_failure(now, attempt.client);
             }
-            AttemptOutcome::NotExecuted(421) if attempt.plain => self.unreachable(now),
+            AttemptOutcome::NotExecuted(421) if attempt.without_model => self.back_off_connecting(now),
             AttemptOutcome::NotExecuted(421) | AttemptOutcome::Cancelled => {}
-            AttemptOutcome::NotExecuted(_) => self.full.extend(now, FULL_REST_MS),
-            AttemptOutcome::ConnectFailed => self.unreachable(now),
+            AttemptOutcome::NotExecuted(_) => self.full_backoff.extend(now, FULL_BACKOFF_MS),
+            AttemptOutcome::ConnectFailed => self.back_off_connecting(now),
         }
         let failure = is_failure(outcome);
-        if attempt.trial {
+        if attempt.is_trial {
             return self.trial_finished(now, outcome);
         }
-        failure && !self.is_ejected() && self.looks_faulty(now, others)
+        failure && !self.is_ejected() && self.is_outlier(now, others)
     }
 
-    /// Ejects it; each ejection soon after another lasts twice as long.
+    /// Ejects it; an ejection soon after another lasts twice as long, up to the bound.
     pub fn eject(&mut self, now: u64) {
-        let calm = now.saturating_sub(self.ejected_at) > CALM_AFTER_MS;
-        self.ejection_ms = if calm || self.ejection_ms == 0 {
+        let reset = now.saturating_sub(self.ejected_at) > EJECTION_RESET_MS;
+        self.ejection_ms = if reset || self.ejection_ms == 0 {
             EJECTION_MS.0
         } else {
             (self.ejection_ms * 2).min(EJECTION_MS.1)
         };
         self.ejected_at = now;
         self.ejected_until = Some(now + self.ejection_ms);
-        self.forget_outcomes(now);
+        self.reset_outcomes(now);
     }
 
-    fn succeeded(&mut self, now: u64) {
+    fn record_success(&mut self, now: u64) {
         self.counts.add(now, false);
-        self.in_row = 0;
-        self.heard(now);
-        self.full = Rest::default();
+        self.consecutive_failures = 0;
+        self.response_received(now);
+        self.full_backoff = Backoff::default();
     }
 
-    fn failed(&mut self, now: u64, origin: u64) {
+    fn record_failure(&mut self, now: u64, client: u64) {
         self.counts.add(now, true);
-        self.in_row += 1;
-        if self.origins.len() < EJECTION_ORIGINS && !self.origins.contains(&origin) {
-            self.origins.push(origin);
+        self.consecutive_failures += 1;
+        if self.failing_clients.len() < MIN_FAILING_CLIENTS && !self.failing_clients.contains(&client) {
+            self.failing_clients.push(client);
         }
     }
 
-    fn forget_outcomes(&mut self, now: u64) {
+    fn reset_outcomes(&mut self, now: u64) {
         self.trial = None;
-        self.counts = OutcomeCounts { at: now, ..OutcomeCounts::default() };
-        self.origins.clear();
-        self.in_row = 0;
+        self.counts = OutcomeCounts { updated_at: now, ..OutcomeCounts::default() };
+        self.failing_clients.clear();
+        self.consecutive_failures = 0;
     }
 
-    fn unreachable(&mut self, now: u64) {
-        self.unreachable.extend(now, CONNECT_REST_MS);
+    fn back_off_connecting(&mut self, now: u64) {
+        self.connect_backoff.extend(now, CONNECT_BACKOFF_MS);
     }
 
-    /// A failed trial asks for another ejection; a good one ends the ejection.
+    /// Ends the trial and returns whether the worker is to be ejected again. A response ends the ejection; an
+    /// outcome that is no evidence leaves it to the next trial.
     fn trial_finished(&mut self, now: u64, outcome: AttemptOutcome) -> bool {
         self.trial = None;
         if is_failure(outcome) || outcome == AttemptOutcome::ConnectFailed {
             return true;
         }
-        let answered = matches!(outcome, AttemptOutcome::Success | AttemptOutcome::WorkerError(_));
-        if answered {
-            self.release(now);
+        let responded = matches!(outcome, AttemptOutcome::Success | AttemptOutcome::WorkerError(_));
+        if responded {
+            self.end_ejection(now);
         }
         false
     }
 
-    fn looks_faulty(&self, now: u64, others: (f64, f64)) -> bool {
+    fn is_outlier(&self, now: u64, others: (f64, f64)) -> bool {
         let (failures, total) = self.counts.failures_and_total(now);
         let (other_failures, other_total) = others;
-        // One success is added to the others, so that a service with one worker has a share too.
-        let others_share = other_failures / (other_total + 1.0);
-        let needed = EJECTION_SHARE.max(EJECTION_TIMES_OTHERS * others_share).min(MOST_SHARE_NEEDED);
-        let by_share = failures >= EJECTION_FAILURES && failures / total >= needed;
-        let by_row = self.in_row >= EJECTION_IN_ROW && others_share < SERVICE_FAILS_SHARE;
-        (by_share || by_row) && self.origins.len() >= EJECTION_ORIGINS
+        // One success is added to the others, so that the rate is defined in a service with one worker too.
+        let others_rate = other_failures / (other_total + 1.0);
+        let required = MIN_FAILURE_RATE.max(FAILURE_RATE_FACTOR * others_rate).min(MAX_REQUIRED_FAILURE_RATE);
+        let by_rate = failures >= MIN_FAILURES && failures / total >= required;
+        let by_consecutive =
+            self.consecutive_failures >= CONSECUTIVE_FAILURES && others_rate < SERVICE_FAILURE_RATE;
+        (by_rate || by_consecutive) && self.failing_clients.len() >= MIN_FAILING_CLIENTS
     }
 
-    /// Failures and outcomes lately.
+    /// Decayed counts of failures and of all outcomes.
     pub fn failures_and_total(&self, now: u64) -> (f64, f64) {
         self.counts.failures_and_total(now)
     }
--- a/crates/routing/src/indexes.rs
+++ b/crates/routing/src/indexes.rs
@@ -1,4 +1,4 @@
-//! Indexes of workers by service and model, kept up to date worker by worker.
+//! Indexes of workers by service and model, updated incrementally.
 
 use std::collections::HashMap;
 
@@ -7,14 +7,14 @@
 /// Workers of one service.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct ServiceIndex {
-    /// All that are not gone, by key.
+    /// All workers that are not gone, sorted by key.
     pub members: Vec<WorkerKey>,
-    /// Those that may hold a model, by key.
+    /// Workers that list a model, sorted by key, by name of the model.
     holders: HashMap<String, Vec<WorkerKey>>,
 }
 
 impl ServiceIndex {
-    /// Members that hold the model as told, or all if no model is asked for.
+    /// Members that list the model, or all members if no model is required.
     pub fn holders(&self, model: Option<&str>) -> &[WorkerKey] {
         match model {
             Some(model) => self.holders.get(model).map_or(&[], Vec::as_slice),
@@ -25,15 +25,15 @@
 
 /// Indexes of all services that have workers.
 ///
-/// A change costs by the models of the worker that changed: on a busy fleet some worker's models change many times a
-/// second, and each gatekeeper hears of it.
+/// An update costs time proportional to the models of the worker that changed, not to the fleet: on a busy fleet some
+/// worker's models change many times a second, and every data plane receives each change.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct WorkerIndexes {
     services: HashMap<String, ServiceIndex>,
 }
 
 impl WorkerIndexes {
-    /// Index of a service that has workers.
+    /// Index of the service, if it has workers.
     pub fn service(&self, name: &str) -> Option<&ServiceIndex> {
         self.services.get(name)
     }
@@ -49,19 +49,19 @@
             return;
         }
         let service = self.services.entry(view.service.clone()).or_default();
-        insert(&mut service.members, key);
+        insert_sorted(&mut service.members, key);
         for model in &view.models {
-            insert(service.holders.entry(model.name.clone()).or_default(), key);
+            insert_sorted(service.holders.entry(model.name.clone()).or_default(), key);
         }
     }
 
     /// Removes a worker that was added with this description.
     pub fn remove(&mut self, key: WorkerKey, view: &WorkerView) {
         let Some(service) = self.services.get_mut(&view.service) else { return };
-        remove(&mut service.members, key);
+        remove_sorted(&mut service.members, key);
         for model in &view.models {
             let Some(holders) = service.holders.get_mut(&model.name) else { continue };
-            remove(holders, key);
+            remove_sorted(holders, key);
             if holders.is_empty() {
                 service.holders.remove(&model.name);
             }
@@ -72,20 +72,20 @@
     }
 }
 
-/// Whether two descriptions of a worker stand at the same places of the indexes.
-pub(crate) fn indexed_alike(one: &WorkerView, other: &WorkerView) -> bool {
+/// Whether two descriptions of a worker have the same index entries.
+pub(crate) fn same_index_entries(one: &WorkerView, other: &WorkerView) -> bool {
     let is_gone = |view: &WorkerView| view.state == Availability::Gone;
     one.service == other.service && one.models == other.models && is_gone(one) == is_gone(other)
 }
 
-fn insert(sorted: &mut Vec<WorkerKey>, key: WorkerKey) {
-    if let Err(place) = sorted.binary_search(&key) {
-        sorted.insert(place, key);
+fn insert_sorted(sorted: &mut Vec<WorkerKey>, key: WorkerKey) {
+    if let Err(index) = sorted.binary_search(&key) {
+        sorted.insert(index, key);
     }
 }
 
-fn remove(sorted: &mut Vec<WorkerKey>, key: WorkerKey) {
-    if let Ok(place) = sorted.binary_search(&key) {
-        sorted.remove(place);
+fn remove_sorted(sorted: &mut Vec<WorkerKey>, key: WorkerKey) {
+    if let Ok(index) = sorted.binary_search(&key) {
+        sorted.remove(index);
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Choice of a worker for a request, ejection of failing workers, and the retry budget.
+//! Load balancing of requests over workers, outlier ejection of failing workers, and the retry budget.
 //!
-//! Everything here is a state machine without input or output: the caller passes the time as `now`, in
-//! milliseconds of a monotonic clock, and reports what became of each attempt. [`Router`] picks workers;
-//! [`RetryBudget`] says whether a request may be sent to a second one.
+//! All types are state machines without I/O: the caller passes the time as `now`, in milliseconds of a monotonic
+//! clock, and reports the outcome of each attempt. [`Router`] picks workers; [`RetryBudget`] limits how many requests
+//! may be retried on a second worker.
 
 mod attempt;
 mod budget;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: what it is told, and bookkeeping of attempts. How a place is chosen stands in `selection`.
+//! The router: updates of the worker list and tracking of attempts. `selection` chooses the worker of a request.
 
 mod selection;
 
@@ -16,72 +16,73 @@
 use crate::health::is_failure;
 use crate::pace::Baselines;
 use crate::prefix::shared_prefixes;
-use crate::sessions::SessionMemory;
+use crate::sessions::SessionAffinity;
 use crate::settings::RouterSettings;
-use crate::silence::SilenceWatch;
+use crate::silence::SilenceDetector;
 use crate::table::WorkerTable;
 use crate::worker::{Availability, WorkerKey, WorkerView};
 
-/// Gatekeepers assumed before their count is told.
-const ASSUMED_GATEKEEPERS: u32 = 8;
+/// Number of data planes assumed until it is known.
+const ASSUMED_DATA_PLANES: u32 = 8;
 
-/// Chooses workers for requests and learns from what becomes of them.
+/// Chooses workers for requests and learns from the outcomes.
 #[derive(Debug)]
 pub struct Router {
     settings: RouterSettings,
     rng: Rng,
-    gatekeepers: u32,
+    data_planes: u32,
     table: WorkerTable,
     attempts: SlotMap<AttemptKey, Attempt>,
     attempts_sent: u64,
     baselines: Baselines,
-    sessions: SessionMemory,
-    silence: SilenceWatch,
-    cache_tokens: HashMap<String, u64>,
+    sessions: SessionAffinity,
+    silence: SilenceDetector,
+    kv_cache_tokens: HashMap<String, u64>,
 }
 
 impl Router {
-    /// A router without workers; `seed` decides between equals.
+    /// Creates a router without workers; `seed` seeds sampling and tie-breaking.
     pub fn new(settings: RouterSettings, seed: u64) -> Self {
         Router {
-            sessions: SessionMemory::new(settings.sessions),
+            sessions: SessionAffinity::new(settings.sessions),
             settings,
             rng: Rng::with_seed(seed),
-            gatekeepers: ASSUMED_GATEKEEPERS,
+            data_planes: ASSUMED_DATA_PLANES,
             table: WorkerTable::default(),
             attempts: SlotMap::with_key(),
             attempts_sent: 0,
             baselines: Baselines::default(),
-            silence: SilenceWatch::default(),
-            cache_tokens: HashMap::new(),
+            silence: SilenceDetector::default(),
+            kv_cache_tokens: HashMap::new(),
         }
     }
 
-    /// Replaces the list of workers. What was learnt of workers that stay in it is kept.
+    /// Replaces the list of workers. The state learned about workers that are still listed is retained.
     pub fn set_workers(&mut self, now: u64, workers: Vec<WorkerView>) {
         self.table.replace(now, workers);
         release_beyond_bound(&mut self.table, now);
     }
 
-    /// Replaces the list of workers as [`Router::set_workers`] does, at the cost of what differs: a description that is
-    /// the same object as in the list before is not looked at.
+    /// Replaces the list of workers as [`Router::set_workers`] does, but skips descriptions that are the same object as
+    /// in the previous list, so that the cost depends on what changed.
     pub fn set_shared_workers(&mut self, now: u64, workers: &[Arc<WorkerView>]) {
         if self.table.replace_shared(now, workers) {
             release_beyond_bound(&mut self.table, now);
         }
     }
 
-    /// Takes what other gatekeepers have outstanding at the workers, as told at one time; those not named have none.
-    pub fn set_peer_loads(&mut self, told_at: u64, loads: &HashMap<String, u32>) {
-        self.table.set_loads(told_at, loads);
+    /// Sets the requests that other data planes have outstanding at the workers, as reported at one time; workers that
+    /// are not named have none.
+    pub fn set_peer_loads(&mut self, reported_at: u64, loads: &HashMap<String, u32>) {
+        self.table.set_peer_loads(reported_at, loads);
     }
 
-    /// The workers as last told, each with the requests of ours that are outstanding at it.
+    /// The workers as last described, each with the number of this data plane's requests outstanding at it.
     pub fn workers(&self) -> impl Iterator<Item = (&WorkerView, u32)> {
         self.table.iter().map(|(_, worker)| (&worker.view, worker.outstanding))
     }
 
-    /// Updates one figure of a worker: what other gatekeepers have outstanding at it, as told at `now`.
+    /// Sets the number of requests that other data planes have outstanding at one worker, as reported at `now`.
     pub fn set_peer_load(&mut self, now: u64, key: WorkerKey, load: u32) {
         if let Some(worker) = self.table.get_mut(key) {
             worker.view.peer_load = load;
@@ -89,19 +90,19 @@
         }
     }
 
-    /// Key of the listed worker with this id.
+    /// Key of the worker with this id, if it is listed.
     pub fn key(&self, id: &str) -> Option<WorkerKey> {
         self.table.key(id)
     }
 
-    /// Tells how many gatekeepers share the workers.
+    /// Sets the number of data planes that share the workers.
     pub fn set_data_plane_count(&mut self, count: u32) {
-        self.gatekeepers = count.max(1);
+        self.data_planes = count.max(1);
     }
 
-    /// Tells the memory of a service's engines in tokens, so that large requests are spread by it.
+    /// Sets the KV cache capacity of a service's engines in tokens, so that large requests are spread by it.
     pub fn set_kv_cache_tokens(&mut self, service: &str, tokens: u64) {
-        self.cache_tokens.insert(service.to_owned(), tokens);
+        self.kv_cache_tokens.insert(service.to_owned(), tokens);
     }
 
     /// The worker, if it is still listed.
@@ -109,64 +110,64 @@
         self.table.get(key).map(|worker| &worker.view)
     }
 
-    /// Whether a request may still go to the worker; ask right before its first byte is sent.
+    /// Whether a request may still be sent to the worker; check right before its first byte is sent.
     pub fn may_send(&self, _now: u64, key: WorkerKey) -> bool {
         let state = self.table.get(key).map(|worker| worker.view.state);
         matches!(state, Some(Availability::Ready | Availability::Suspected))
     }
 
-    /// Notes that a request is sent to the worker.
+    /// Records that a request is sent to the worker.
     pub fn sent(&mut self, now: u64, key: WorkerKey, profile: &RequestProfile) -> AttemptKey {
         self.attempts_sent += 1;
         let prefixes = shared_prefixes(profile);
         let mut attempt = self.new_attempt(now, key, profile);
         if let Some(worker) = self.table.get_mut(key) {
-            let kept = worker.prefixes.kept_tokens(&prefixes);
-            attempt.prefill_tokens = attempt.prefill_tokens.saturating_sub(kept);
+            let cached = worker.prefixes.cached_tokens(&prefixes);
+            attempt.prefill_tokens = attempt.prefill_tokens.saturating_sub(cached);
             attempt.new_prefixes = worker.prefixes.touch(&prefixes, self.settings.prefixes_per_worker);
             worker.attempt_started(now, &attempt);
         }
         if let Some(session) = profile.session {
-            self.sessions.note(session, key);
+            self.sessions.record(session, key);
         }
         let attempt_key = self.attempts.insert(attempt);
         if let Some(worker) = self.table.get_mut(key) {
-            self.attempts[attempt_key].trial = worker.health.sent(attempt_key);
+            self.attempts[attempt_key].is_trial = worker.health.request_sent(attempt_key);
         }
         attempt_key
     }
 
-    /// Notes the first byte of an answer.
+    /// Records the first byte of a response.
     pub fn first_byte(&mut self, now: u64, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         if attempt.first_byte_at.is_some() {
             return;
         }
         attempt.first_byte_at = Some(now);
-        let reading = attempt.prefill_tokens as f64 / self.settings.prefill_tokens_per_ms;
-        let latency = now.saturating_sub(attempt.sent_at).saturating_sub(reading as u64);
+        let prefill_ms = attempt.prefill_tokens as f64 / self.settings.prefill_tokens_per_ms;
+        let latency = now.saturating_sub(attempt.sent_at).saturating_sub(prefill_ms as u64);
         let ratio = self.baselines.first_byte(attempt.workload, latency);
         if let Some(worker) = self.table.get_mut(attempt.worker) {
-            worker.prompt_read(attempt);
+            worker.prefill_finished(attempt);
             worker.slowness.observe(now, ratio);
-            worker.heard(now);
+            worker.response_received(now);
         }
     }
 
-    /// Notes an event of a streamed answer.
+    /// Records an event of a streamed response.
     pub fn progress(&mut self, now: u64, key: AttemptKey) {
         self.first_byte(now, key);
         let Some(attempt) = self.attempts.get_mut(key) else { return };
-        let previous = attempt.progress_at.replace(now);
+        let previous = attempt.last_event_at.replace(now);
         let Some(worker) = self.table.get_mut(attempt.worker) else { return };
         if let Some(previous) = previous {
             let ratio = self.baselines.interval(attempt.workload, now.saturating_sub(previous));
             worker.slowness.observe(now, ratio);
         }
-        worker.heard(now);
+        worker.response_received(now);
     }
 
-    /// Ends an attempt. Each attempt must be ended once, also when its client has gone.
+    /// Ends an attempt. Each attempt must be ended once, also if its client has disconnected.
     pub fn finished(&mut self, now: u64, key: AttemptKey, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.remove(key) else { return };
         if outcome == AttemptOutcome::Success {
@@ -179,32 +180,39 @@
         let Some(worker) = self.table.get_mut(attempt.worker) else { return };
         worker.attempt_ended(&attempt);
         if matches!(outcome, AttemptOutcome::NotExecuted(_) | AttemptOutcome::ConnectFailed) {
-            attempt.new_prefixes.iter().for_each(|hash| worker.prefixes.forget(*hash));
+            attempt.new_prefixes.iter().for_each(|hash| worker.prefixes.remove(*hash));
         } else if outcome == AttemptOutcome::Success {
-            worker.heard_at = now;
+            worker.last_activity_at = now;
         }
-        let looks_faulty = worker.health.finished(now, &attempt, outcome, others);
-        if looks_faulty && self.settings.ejection {
+        let should_eject = worker.health.attempt_finished(now, &attempt, outcome, others);
+        if should_eject && self.settings.ejection {
             eject_within_bound(&mut self.table, now, attempt.worker);
         }
     }
 
-    /// Notes that the worker denied holding the request's model or adapter.
+    /// Records that the worker reported the request's model or adapter as not loaded.
     pub fn model_not_loaded(&mut self, now: u64, key: WorkerKey, profile: &RequestProfile) {
         let (Some(worker), Some(model)) = (self.table.get_mut(key), &profile.model) else { return };
-        worker.deny(now, model, profile.adapter.as_deref());
+        worker.mark_not_loaded(now, model, profile.adapter.as_deref());
     }
 
-    /// Ids of the workers with requests of ours, and how many; for sharing with other gatekeepers.
+    /// Ids of the workers at which this data plane has requests outstanding, and how many; for the report to other
+    /// data planes.
     pub fn outstanding(&self) -> Vec<(String, u32)> {
         let busy = self.table.iter().filter(|(_, worker)| worker.outstanding > 0);
         busy.map(|(_, worker)| (worker.view.id.clone(), worker.outstanding)).collect()
     }
 
-    /// Workers with several running streams of ours none of which has moved for a while. Their streams
-    /// should be resumed elsewhere. Call it every 50 ms or so: gaps over 150 ms count as a pause of our own.
+    /// Workers with several running streams of this data plane, none of which had an event for a while. Their streams
+    /// should be resumed on other workers. Call it about every 50 ms: more than 150 ms between two calls counts as a
+    /// pause of this process.
     pub fn silent_workers(&mut self, now: u64) -> Vec<WorkerKey> {
-        self.silence.silent(now, &self.attempts, self.settings.silent_ms, self.settings.silent_streams)
+        self.silence.silent_workers(
+            now,
+            &self.attempts,
+            self.settings.silent_ms,
+            self.settings.silent_streams,
+        )
     }
 
     fn new_attempt(&self, now: u64, worker: WorkerKey, profile: &RequestProfile) -> Attempt {
@@ -212,13 +220,13 @@
             worker,
             sent_at: now,
             first_byte_at: None,
-            progress_at: None,
+            last_event_at: None,
             prefill_tokens: u64::from(profile.prompt_tokens),
             total_tokens: profile.total_tokens(),
             workload: workload(profile),
-            origin: origin(profile, self.attempts_sent),
-            plain: profile.model.is_none(),
-            trial: false,
+            client: client(profile, self.attempts_sent),
+            without_model: profile.model.is_none(),
+            is_trial: false,
             new_prefixes: Vec::new(),
         }
     }
@@ -230,8 +238,9 @@
     hasher.finish()
 }
 
-/// Session or own prompt part of the request; a request that tells neither counts as of its own.
-fn origin(profile: &RequestProfile, serial: u64) -> u64 {
+/// Id that stands for the client of the request: its session or its own prompt part. A request with neither counts as
+/// a client of its own.
+fn client(profile: &RequestProfile, serial: u64) -> u64 {
     let own_part = profile.prompt_parts.last().map(|part| part.id);
     profile.session.or(own_part).unwrap_or(serial)
 }
--- a/crates/routing/src/router/selection.rs
+++ b/crates/routing/src/router/selection.rs
@@ -1,40 +1,43 @@
-//! How the place of a request is chosen, from the list of workers to one of them.
+//! Choice of the worker for a request.
 //!
-//! 1. [`Candidates`] sorts the workers that hold the request's model and adapter: good ones, suspected ones that answered
-//!    lately, unreachable ones, and ejected ones that are due for a trial. The first group that offers a place decides.
-//! 2. [`Homes`] assigns the shared part of the prompt to two of the candidates by hash, alike at every gatekeeper.
-//! 3. [`shortlist`] leaves so few candidates to compare that gatekeepers with the same old figures do not all choose the
-//!    same one; the homes and the session's last worker are always among them.
-//! 4. [`CostBasis`] gives each the delay it would mean, less what kept prompts save. Full workers offer no place, crowded
-//!    ones only where nobody else does. The lowest cost is chosen, near-equals by chance.
-//! 5. If nobody offers a place, the answer says whether the model is missing or its holders are busy, and for how long.
+//! 1. [`Candidates`] groups the workers that hold the request's model and adapter: eligible ones, suspected ones that
+//!    responded recently, unreachable ones, and ejected ones that are due for an early trial. The first group with a
+//!    usable worker decides.
+//! 2. [`PrefixOwners`] assigns the shared part of the prompt to two of the candidates by rendezvous hashing, which
+//!    gives the same result at every data plane.
+//! 3. [`shortlist`] limits the comparison to so few candidates that data planes with the same outdated loads do not all
+//!    choose the same one; the prefix owners and the session's last worker are always among them.
+//! 4. [`CostContext`] estimates the delay at each, less the saving from cached prompts. Full workers are skipped;
+//!    overloaded ones are used only if there is no other. The lowest cost wins; near ties are broken at random.
+//! 5. If no worker is usable, the result tells whether the model is not loaded or its holders are busy, and for how
+//!    long.
 
 use fastrand::Rng;
 
 use super::{workload, Router};
 use crate::candidates::Candidates;
 use crate::choice::{Choice, RequestProfile};
-use crate::cost::{mean_elsewhere, CostBasis};
+use crate::cost::{mean_peer_load, CostContext};
 use crate::prefix::{shared_prefixes, Prefix};
 use crate::settings::RouterSettings;
-use crate::shortlist::{shortlist, Homes};
+use crate::shortlist::{shortlist, PrefixOwners};
 use crate::worker::{Availability, WorkerKey};
 
-/// Bounds of the time a caller is told to wait when all workers are busy.
+/// Bounds of the retry delay returned when all workers are busy.
 const RETRY_AFTER_MS: (u64, u64) = (30, 1_000);
-/// Difference in requests up to which workers count as equal even if all is known of them.
+/// Difference in requests up to which workers may tie even if their loads are known exactly.
 const TIE_REQUESTS: f64 = 0.5;
-/// Age of the others' loads beyond which it no longer matters how old they are: they are hardly believed.
-const LONGEST_UNSEEN_MS: f64 = 1_000.0;
-/// Advantage of the session's last worker, on top of the time to read the session's part again.
-const SESSION_MS: f64 = 10.0;
+/// Bound on the age of peer loads used to size the comparison: older loads hardly count in the cost anyway.
+const MAX_PEER_LOAD_AGE_MS: f64 = 1_000.0;
+/// Cost reduction for the session's last worker, in addition to the time to prefill the session's prompt part again.
+const SESSION_AFFINITY_MS: f64 = 10.0;
 
-/// What sending a request to a worker would cost, in milliseconds.
-struct Offer {
+/// Cost of sending a request to a worker, in milliseconds.
+struct WorkerCost {
     worker: WorkerKey,
     cost: f64,
-    /// What one request more at the worker adds.
-    step: f64,
+    /// Delay added by one more request at the worker.
+    per_request: f64,
 }
 
 impl Router {
@@ -43,8 +46,8 @@
         self.choose_connected(now, profile, excluded, &|_| true)
     }
 
-    /// As [`Router::choose`], where some workers, told by their ids, have a connection at rest and others would need a
-    /// new one.
+    /// As [`Router::choose`], where `is_connected` tells by a worker's id whether it has an idle connection or would
+    /// need a new one.
     pub fn choose_connected(
         &mut self,
         now: u64,
@@ -55,19 +58,19 @@
         let Some(service) = self.table.service(&profile.service) else { return Choice::NoWorker };
         let candidates = Candidates::collect(now, &self.table, service, profile, excluded);
         let chosen = self
-            .cheapest(now, profile, &candidates.good, is_connected)
-            .or_else(|| self.cheapest(now, profile, &candidates.suspected, is_connected))
+            .lowest_cost(now, profile, &candidates.eligible, is_connected)
+            .or_else(|| self.lowest_cost(now, profile, &candidates.suspected, is_connected))
             .or_else(|| candidates.unreachable.iter().min().map(|(_, key)| *key))
-            .or_else(|| self.cheapest(now, profile, &candidates.last_resort, is_connected));
+            .or_else(|| self.lowest_cost(now, profile, &candidates.early_trials, is_connected));
         match chosen {
             Some(worker) => Choice::Send(worker),
-            None => self.nobody(now, profile, &candidates),
+            None => self.unavailable(now, profile, &candidates),
         }
     }
 
-    /// The candidate with the lowest cost that is not full, out of a random part of them if gatekeepers
-    /// with the same stale figures could otherwise all choose the same one. Near-equals are decided by chance.
-    fn cheapest(
+    /// The candidate with the lowest cost that is not full. Only a random sample is compared if data planes with the
+    /// same stale loads could otherwise all choose the same worker. Near ties are broken at random.
+    fn lowest_cost(
         &mut self,
         now: u64,
         profile: &RequestProfile,
@@ -75,28 +78,29 @@
         is_connected: &dyn Fn(&str) -> bool,
     ) -> Option<WorkerKey> {
         let prefixes = shared_prefixes(profile);
-        let homes = match self.settings.prompt_homes {
-            true => Homes::of(&prefixes, keys, &self.table),
-            false => Homes::default(),
+        let owners = match self.settings.prompt_homes {
+            true => PrefixOwners::of(&prefixes, keys, &self.table),
+            false => PrefixOwners::default(),
         };
         let session_worker = profile.session.and_then(|session| self.sessions.worker(session));
-        let count = self.compared(now, keys);
-        let favourites = [homes.first, homes.second, session_worker];
-        let compared = shortlist(&mut self.rng, keys, count, &favourites);
-        // If all of the part are full or crowded, the rest are compared as well, and crowded ones come last.
-        for (some, may_be_crowded) in [(&compared[..], false), (keys, false), (keys, true)] {
-            let basis = CostBasis { is_connected, ..self.cost_basis(now, profile, &prefixes, homes, keys) };
-            let offers = self.offers(&basis, session_worker, some, may_be_crowded);
-            if let Some(worker) = least(&mut self.rng, &offers) {
+        let count = self.sample_size(now, keys);
+        let preferred = [owners.primary, owners.secondary, session_worker];
+        let compared = shortlist(&mut self.rng, keys, count, &preferred);
+        // If the whole sample is full or overloaded, all candidates are compared; overloaded ones come last.
+        for (some, allow_overloaded) in [(&compared[..], false), (keys, false), (keys, true)] {
+            let context =
+                CostContext { is_connected, ..self.cost_context(now, profile, &prefixes, owners, keys) };
+            let costs = self.costs(&context, session_worker, some, allow_overloaded);
+            if let Some(worker) = lowest(&mut self.rng, &costs) {
                 return Some(worker);
             }
         }
         None
     }
 
-    /// How many of the workers to compare: so few that what the other gatekeepers send to the best-looking
-    /// one before their loads are told again stays small. They are taken to send as much as this one.
-    fn compared(&self, now: u64, keys: &[WorkerKey]) -> usize {
+    /// How many of the workers to compare: so few that the requests other data planes send to the apparently best one
+    /// before their loads are reported again stay within the bound. Each is assumed to send as much as this one.
+    fn sample_size(&self, now: u64, keys: &[WorkerKey]) -> usize {
         let mut own_per_ms = 0.0;
         let mut age_ms = 0.0;
         for worker in keys.iter().filter_map(|key| self.table.get(*key)) {
@@ -104,47 +108,47 @@
             age_ms += now.saturating_sub(worker.view.peer_load_at) as f64;
         }
         let count = keys.len().max(1) as f64;
-        let unseen_ms = (age_ms / count).min(LONGEST_UNSEEN_MS);
-        let unseen = own_per_ms * f64::from(self.gatekeepers - 1) * unseen_ms / count;
-        (self.settings.unseen_requests / unseen.max(f64::MIN_POSITIVE)) as usize
+        let mean_age_ms = (age_ms / count).min(MAX_PEER_LOAD_AGE_MS);
+        let unreported = own_per_ms * f64::from(self.data_planes - 1) * mean_age_ms / count;
+        (self.settings.unseen_requests / unreported.max(f64::MIN_POSITIVE)) as usize
     }
 
-    /// Cost of each worker that is not full nor, unless that is allowed, crowded.
-    fn offers(
+    /// Cost of each worker that is not full nor, unless that is allowed, overloaded.
+    fn costs(
         &self,
-        basis: &CostBasis,
+        context: &CostContext,
         session_worker: Option<WorkerKey>,
         keys: &[WorkerKey],
-        may_be_crowded: bool,
-    ) -> Vec<Offer> {
-        let mut offers = Vec::with_capacity(keys.len());
+        allow_overloaded: bool,
+    ) -> Vec<WorkerCost> {
+        let mut costs = Vec::with_capacity(keys.len());
         for &key in keys {
             let Some(worker) = self.table.get(key) else { continue };
-            if basis.is_full(worker) || basis.is_crowded(worker) && !may_be_crowded {
+            if context.is_full(worker) || context.is_overloaded(worker) && !allow_overloaded {
                 continue;
             }
-            let mut cost = basis.delay(worker) - basis.saving(key, worker);
+            let mut cost = context.delay(worker) - context.cached_prompt_saving(key, worker);
             if session_worker == Some(key) {
-                cost -= session_advantage(basis.profile, &self.settings);
+                cost -= session_advantage(context.profile, &self.settings);
             }
-            offers.push(Offer { worker: key, cost, step: basis.step(worker) });
+            costs.push(WorkerCost { worker: key, cost, per_request: context.delay_per_request(worker) });
         }
-        offers
+        costs
     }
 
-    fn cost_basis<'a>(
+    fn cost_context<'a>(
         &'a self,
         now: u64,
         profile: &'a RequestProfile,
         prefixes: &'a [Prefix],
-        homes: Homes,
+        owners: PrefixOwners,
         keys: &[WorkerKey],
-    ) -> CostBasis<'a> {
+    ) -> CostContext<'a> {
         let workers = || keys.iter().filter_map(|key| self.table.get(*key));
         let outstanding: u32 = workers().map(|worker| worker.outstanding).sum();
         let tokens: u64 = workers().map(|worker| worker.outstanding_tokens).sum();
         let own_tokens = profile.total_tokens() as f64;
-        CostBasis {
+        CostContext {
             is_connected: &|_| true,
             now,
             settings: &self.settings,
@@ -152,9 +156,9 @@
             workload: workload(profile),
             profile,
             prefixes,
-            homes,
-            cache_tokens: self.cache_tokens.get(&profile.service).copied(),
-            mean_elsewhere: mean_elsewhere(now, workers()),
+            owners,
+            kv_cache_tokens: self.kv_cache_tokens.get(&profile.service).copied(),
+            mean_peer_load: mean_peer_load(now, workers()),
             total_load: 0.0,
             candidates: 0.0,
             mean_tokens: (tokens as f64 + own_tokens) / f64::from(outstanding + 1),
@@ -162,10 +166,10 @@
         .with_total_load(workers())
     }
 
-    /// The answer when no worker can be sent to.
-    fn nobody(&self, now: u64, profile: &RequestProfile, candidates: &Candidates) -> Choice {
+    /// The result if no worker is usable.
+    fn unavailable(&self, now: u64, profile: &RequestProfile, candidates: &Candidates) -> Choice {
         if candidates.any_holder {
-            return Choice::Busy { retry_after_ms: self.retry_after(now, profile, candidates.back_at) };
+            return Choice::Busy { retry_after_ms: self.retry_after(now, profile, candidates.available_at) };
         }
         let members = self.table.service(&profile.service).map_or(&[][..], |service| &service.members);
         let any_ready = members
@@ -178,23 +182,23 @@
         }
     }
 
-    /// Time until a worker that was left out comes back, or else until a slot of a full one is likely free.
-    fn retry_after(&self, now: u64, profile: &RequestProfile, back_at: Option<u64>) -> u64 {
+    /// Time until an unavailable worker may be chosen again, or else until a slot of a full one is likely to be free.
+    fn retry_after(&self, now: u64, profile: &RequestProfile, available_at: Option<u64>) -> u64 {
         let duration = self.baselines.usual_duration(workload(profile)).unwrap_or(0.0) as u64;
-        let until_back = back_at.map_or(u64::MAX, |at| at.saturating_sub(now));
+        let until_available = available_at.map_or(u64::MAX, |at| at.saturating_sub(now));
         let until_slot = duration / 4;
-        let wait = if back_at.is_some() { until_back } else { until_slot };
+        let wait = if available_at.is_some() { until_available } else { until_slot };
         wait.clamp(RETRY_AFTER_MS.0, RETRY_AFTER_MS.1)
     }
 }
 
-/// The offer with the lowest cost; near-equals are decided by chance.
-fn least(rng: &mut Rng, offers: &[Offer]) -> Option<WorkerKey> {
+/// The worker with the lowest cost; near ties are broken at random.
+fn lowest(rng: &mut Rng, costs: &[WorkerCost]) -> Option<WorkerKey> {
     let mut best: Option<(f64, WorkerKey)> = None;
-    for offer in offers {
-        let cost = offer.cost + rng.f64() * TIE_REQUESTS * offer.step;
+    for candidate in costs {
+        let cost = candidate.cost + rng.f64() * TIE_REQUESTS * candidate.per_request;
         if best.is_none_or(|(lowest, _)| cost < lowest) {
-            best = Some((cost, offer.worker));
+            best = Some((cost, candidate.worker));
         }
     }
     best.map(|(_, key)| key)
@@ -202,6 +206,6 @@
 
 fn session_advantage(profile: &RequestProfile, settings: &RouterSettings) -> f64 {
     let own_tokens = profile.prompt_parts.last().map_or(0, |part| part.tokens);
-    let reading = f64::from(own_tokens) / settings.prefill_tokens_per_ms * settings.kept_prompt_weight;
-    (SESSION_MS + reading).min(settings.session_most_ms)
+    let prefill = f64::from(own_tokens) / settings.prefill_tokens_per_ms * settings.kept_prompt_weight;
+    (SESSION_AFFINITY_MS + prefill).min(settings.session_most_ms)
 }
--- a/crates/routing/src/sessions.rs
+++ b/crates/routing/src/sessions.rs
@@ -1,35 +1,35 @@
-//! Which worker served a session last.
+//! Session affinity: which worker last served a session.
 
 use std::collections::HashMap;
 
 use crate::worker::WorkerKey;
 
-/// Bounded map from session to worker, in two generations: when the young one is full it becomes the old
-/// one, and what the old one held is forgotten.
+/// Bounded map from session to worker, kept in two generations: when the current one is full it becomes the previous
+/// one, whose entries are dropped.
 #[derive(Debug)]
-pub(crate) struct SessionMemory {
-    young: HashMap<u64, WorkerKey>,
-    old: HashMap<u64, WorkerKey>,
+pub(crate) struct SessionAffinity {
+    current: HashMap<u64, WorkerKey>,
+    previous: HashMap<u64, WorkerKey>,
     generation_size: usize,
 }
 
-impl SessionMemory {
-    /// Remembers up to `capacity` sessions.
+impl SessionAffinity {
+    /// Creates a map of up to `capacity` sessions.
     pub fn new(capacity: usize) -> Self {
         let generation_size = (capacity / 2).max(1);
-        SessionMemory { young: HashMap::new(), old: HashMap::new(), generation_size }
+        SessionAffinity { current: HashMap::new(), previous: HashMap::new(), generation_size }
     }
 
     /// Worker of the session, if it is remembered.
     pub fn worker(&self, session: u64) -> Option<WorkerKey> {
-        self.young.get(&session).or_else(|| self.old.get(&session)).copied()
+        self.current.get(&session).or_else(|| self.previous.get(&session)).copied()
     }
 
-    /// Notes where the session's newest request went.
-    pub fn note(&mut self, session: u64, worker: WorkerKey) {
-        if self.young.len() >= self.generation_size && !self.young.contains_key(&session) {
-            self.old = std::mem::take(&mut self.young);
+    /// Records the worker of the session's newest request.
+    pub fn record(&mut self, session: u64, worker: WorkerKey) {
+        if self.current.len() >= self.generation_size && !self.current.contains_key(&session) {
+            self.previous = std::mem::take(&mut self.current);
         }
-        self.young.insert(session, worker);
+        self.current.insert(session, worker);
     }
 }
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -2,53 +2,57 @@
 
 use serde::Deserialize;
 
-/// Settings of a [`crate::Router`]. `Default` fits engines with event intervals of about 35 ms.
+/// Settings of a [`crate::Router`]. The defaults fit engines that send a stream event about every 35 ms.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RouterSettings {
-    /// Zone of this gatekeeper; its own zone's workers are preferred by `other_zone_ms`. Given by the process, not read.
+    /// Zone of this data plane; workers of other zones cost `other_zone_ms` more. Set by the process, not read from
+    /// the settings file.
     #[serde(skip)]
     pub zone: String,
-    /// Prompt tokens an engine reads per millisecond.
+    /// Prompt tokens an engine prefills per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// How much more a token kept is valued than the time to read it again.
+    /// Weight of a cached prompt token relative to the time needed to prefill it again.
     pub kept_prompt_weight: f64,
-    /// Estimated delay in milliseconds a full batch adds; a part-full one adds its share.
+    /// Estimated delay in milliseconds added by a full batch; a partly filled batch adds a proportional share.
     pub full_batch_ms: f64,
-    /// Disadvantage in milliseconds of a worker in another zone.
+    /// Cost in milliseconds of a worker in another zone.
     pub other_zone_ms: f64,
-    /// Disadvantage in milliseconds of a worker to which a new connection would have to be opened.
+    /// Cost in milliseconds of a worker to which a new connection would have to be opened.
     pub new_connection_ms: f64,
-    /// Requests beyond its slots that a worker is given, as a share of its slots.
+    /// Requests a worker may be given beyond its slots, as a ratio of its slots.
     pub queue_ratio: f64,
-    /// Requests that the other gatekeepers together may send to a worker unseen, because all compare it.
+    /// Target bound on the requests that all other data planes together send to one worker before their loads are
+    /// reported again. It sets how many workers are compared per choice.
     pub unseen_requests: f64,
-    /// Silence of all streams of a worker after which they should be resumed elsewhere, in milliseconds. Given by the
-    /// process, not read.
+    /// Time in milliseconds without an event on any stream of a worker after which its streams should be resumed on
+    /// another worker. Set by the process, not read from the settings file.
     #[serde(skip)]
     pub silent_ms: u64,
-    /// Running streams a worker must have before its silence is believed.
+    /// Fewest running streams for a worker to be considered silent.
     pub silent_streams: usize,
     /// Prompt prefixes remembered per worker.
     pub prefixes_per_worker: usize,
-    /// Sessions remembered in all.
+    /// Sessions remembered for all workers together.
     pub sessions: usize,
-    /// Delay in milliseconds that a worker adds when all of its memory is promised; 0 ignores its memory.
+    /// Delay in milliseconds added by a worker whose whole KV cache is reserved; 0 ignores the KV cache.
     pub memory_short_ms: f64,
-    /// Greatest advantage in milliseconds of the worker that served a session last; 0 forgets sessions.
+    /// Upper bound in milliseconds on the cost reduction for the worker that last served the session; 0 gives it
+    /// no advantage.
     pub session_most_ms: f64,
     /// Whether shared prompts are assigned to workers by hash.
     pub prompt_homes: bool,
-    /// How many times the mean load of the other candidates a worker may have before they are preferred, whatever it has
-    /// kept; 0 sets no bound.
+    /// Load of a worker, as a multiple of the mean load of the other candidates, above which other candidates are
+    /// preferred whatever it has cached; 0 sets no bound.
     pub crowded_times: f64,
-    /// Requests at a worker that count as crowded by no comparison.
+    /// Requests added to the bound of `crowded_times`, so that small loads never exceed it.
     pub crowded_slack: f64,
     /// Whether workers that fail requests are ejected.
     pub ejection: bool,
-    /// Whether a worker's speed, as its answers show it, counts.
+    /// Whether a worker's observed response times count in its cost.
     pub worker_speed: bool,
-    /// Age in milliseconds at which a load told by other gatekeepers counts half; the rest is the mean.
+    /// Age in milliseconds at which the load reported by other data planes counts for half of the estimate; the rest is
+    /// the mean load of the candidates.
     pub load_half_life_ms: f64,
 }
 
@@ -80,7 +84,7 @@
 }
 
 impl RouterSettings {
-    /// Default settings for a gatekeeper of `zone`.
+    /// Default settings for a data plane in `zone`.
     pub fn for_zone(zone: &str) -> Self {
         RouterSettings { zone: zone.to_owned(), ..Self::default() }
     }
--- a/crates/routing/src/shortlist.rs
+++ b/crates/routing/src/shortlist.rs
@@ -1,9 +1,9 @@
-//! Which of many candidates are compared.
+//! Selection of the candidates that are compared by cost.
 //!
-//! Gatekeepers see each other's requests late. Were each to compare all workers, all would send to the one
-//! that looked idle a moment ago. A worker compared in a share of the choices only can't get more than that
-//! share. A request with a shared prompt also compares the workers its prompt is assigned to by hash, which
-//! are the same at every gatekeeper, so that they gather its prompt's requests without being told.
+//! Data planes learn of each other's requests late. If each compared all workers, all would send to the one that was
+//! idle a moment ago (herding). A worker that is compared in a share of the choices only can't get more than that
+//! share. A request with a shared prompt also compares the workers that own its prefix by rendezvous hashing. These
+//! are the same at every data plane, so requests with the same prompt reach the same workers without coordination.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -15,57 +15,57 @@
 use crate::worker::WorkerKey;
 
 /// Fewest workers compared.
-const LEAST_COMPARED: usize = 2;
+const MIN_COMPARED: usize = 2;
 
-/// The two workers that a prompt prefix is assigned to among `keys`, by the highest hash of both.
+/// The two workers that own a prompt prefix by rendezvous (highest random weight) hashing.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct Homes {
-    /// First choice.
-    pub first: Option<WorkerKey>,
-    /// Where the overflow of the first goes.
-    pub second: Option<WorkerKey>,
+pub(crate) struct PrefixOwners {
+    /// Worker with the highest weight.
+    pub primary: Option<WorkerKey>,
+    /// Worker with the second highest weight; it takes the overflow of the primary.
+    pub secondary: Option<WorkerKey>,
 }
 
-impl Homes {
-    /// Homes of the longest of `prefixes`; none if there is no shared prefix.
+impl PrefixOwners {
+    /// Owners, among `keys`, of the longest of `prefixes`; none if there is no shared prefix.
     pub fn of(prefixes: &[Prefix], keys: &[WorkerKey], table: &WorkerTable) -> Self {
-        let Some(prefix) = prefixes.last() else { return Homes::default() };
-        let mut first = (0, None);
-        let mut second = (0, None);
+        let Some(prefix) = prefixes.last() else { return PrefixOwners::default() };
+        let mut primary = (0, None);
+        let mut secondary = (0, None);
         for &key in keys {
             let Some(worker) = table.get(key) else { continue };
-            let rank = rank(prefix.hash, worker.id_hash);
-            if rank > first.0 {
-                second = std::mem::replace(&mut first, (rank, Some(key)));
-            } else if rank > second.0 {
-                second = (rank, Some(key));
+            let weight = hash_weight(prefix.hash, worker.id_hash);
+            if weight > primary.0 {
+                secondary = std::mem::replace(&mut primary, (weight, Some(key)));
+            } else if weight > secondary.0 {
+                secondary = (weight, Some(key));
             }
         }
-        Homes { first: first.1, second: second.1 }
+        PrefixOwners { primary: primary.1, secondary: secondary.1 }
     }
 }
 
-/// At random `count` of `keys`, and the favourites that are among them.
+/// A random sample of about `count` of `keys`, drawn with replacement, plus those of `preferred` that are among `keys`.
 pub(crate) fn shortlist(
     rng: &mut Rng,
     keys: &[WorkerKey],
     count: usize,
-    favourites: &[Option<WorkerKey>],
+    preferred: &[Option<WorkerKey>],
 ) -> Vec<WorkerKey> {
-    let count = count.max(LEAST_COMPARED);
+    let count = count.max(MIN_COMPARED);
     if keys.len() <= count {
         return keys.to_vec();
     }
-    let mut list: Vec<WorkerKey> = Vec::with_capacity(count + favourites.len());
-    let present = favourites.iter().flatten().filter(|favourite| keys.contains(favourite));
+    let mut list: Vec<WorkerKey> = Vec::with_capacity(count + preferred.len());
+    let present = preferred.iter().flatten().filter(|key| keys.contains(key));
     list.extend(present);
-    while list.len() < count + favourites.len() {
+    while list.len() < count + preferred.len() {
         list.push(keys[rng.usize(0..keys.len())]);
     }
     list
 }
 
-fn rank(prefix: u64, worker: u64) -> u64 {
+fn hash_weight(prefix: u64, worker: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
     (prefix, worker).hash(&mut hasher);
     hasher.finish()
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -12,47 +12,48 @@
 
 use crate::attempt::Attempt;
 use crate::health::Health;
-use crate::indexes::{indexed_alike, ServiceIndex, WorkerIndexes};
+use crate::indexes::{same_index_entries, ServiceIndex, WorkerIndexes};
 use crate::pace::{SendRate, Slowness};
-use crate::prefix::PrefixMemory;
+use crate::prefix::PrefixCache;
 use crate::worker::{WorkerKey, WorkerView};
 
-/// How long a residency that a worker denied is disbelieved, unless its list of models changes before.
-const DENIAL_MS: u64 = 2_500;
+/// How long a model that a worker lists counts as not loaded after the worker said so, unless its list of models
+/// changes earlier.
+const NOT_LOADED_MS: u64 = 2_500;
 
-/// A worker and what this router knows of it from its own requests.
+/// A worker and what this router has learned about it from its own requests.
 #[derive(Debug)]
 pub(crate) struct WorkerState {
-    /// As last told, with the newest load.
+    /// Its description as last received, with the newest peer load.
     pub view: WorkerView,
-    /// The description that `view` was copied from, where the teller shares it.
-    told: Option<Arc<WorkerView>>,
+    /// The shared description that `view` was copied from, if the list was given as shared descriptions.
+    shared_view: Option<Arc<WorkerView>>,
     /// Hash of its id, the same in every process.
     pub id_hash: u64,
     /// When it stops being cold.
     pub cold_until: u64,
-    /// How often we send to it.
+    /// Rate at which this data plane sends to it.
     pub sends: SendRate,
-    /// Our requests at it.
+    /// Requests of this data plane outstanding at it.
     pub outstanding: u32,
-    /// Memory these occupy at their end.
+    /// KV cache tokens that these requests occupy when they end.
     pub outstanding_tokens: u64,
-    /// Prompt tokens of ours that it has not read yet.
-    pub unread_tokens: u64,
-    /// Last sign of life, or when it got its first request after having none.
-    pub heard_at: u64,
-    /// Health from outcomes.
+    /// Prompt tokens of these requests that it has not prefilled yet.
+    pub pending_prefill_tokens: u64,
+    /// When it last responded, or when it got its first request after a time without any.
+    pub last_activity_at: u64,
+    /// Health derived from outcomes.
     pub health: Health,
-    /// Speed relative to others.
+    /// Latency relative to the usual one.
     pub slowness: Slowness,
-    /// Prompt prefixes it has read.
-    pub prefixes: PrefixMemory,
-    denials: Vec<Denial>,
+    /// Prompt prefixes it is assumed to have cached.
+    pub prefixes: PrefixCache,
+    not_loaded: Vec<NotLoaded>,
 }
 
-/// A model and adapter that the worker said it does not hold, against its list.
+/// A model and adapter that the worker lists but reported as not loaded.
 #[derive(Debug)]
-struct Denial {
+struct NotLoaded {
     model: String,
     adapter: Option<String>,
     until: u64,
@@ -64,78 +65,78 @@
             id_hash: id_hash(&view.id),
             cold_until: now + view.cold_remaining_ms,
             view,
-            told: None,
+            shared_view: None,
             sends: SendRate::default(),
             outstanding: 0,
             outstanding_tokens: 0,
-            unread_tokens: 0,
-            heard_at: now,
+            pending_prefill_tokens: 0,
+            last_activity_at: now,
             health: Health::default(),
             slowness: Slowness::default(),
-            prefixes: PrefixMemory::default(),
-            denials: Vec::new(),
+            prefixes: PrefixCache::default(),
+            not_loaded: Vec::new(),
         }
     }
 
     fn update(&mut self, now: u64, view: WorkerView) {
         if view.models != self.view.models {
-            self.denials.clear();
+            self.not_loaded.clear();
         }
-        // The same figure again was told once and has been running down since.
+        // An unchanged value was received before and has been counting down since.
         if view.cold_remaining_ms != self.view.cold_remaining_ms {
             self.cold_until = now + view.cold_remaining_ms;
         }
         self.view = view;
     }
 
-    /// Whether it holds the model and adapter, as told and not denied since.
+    /// Whether it lists the model and adapter and has not reported them as not loaded since.
     pub fn holds(&self, now: u64, model: &str, adapter: Option<&str>) -> bool {
         self.view.holds(model, adapter)
-            && !self.denials.iter().any(|denial| denial.covers(now, model, adapter))
+            && !self.not_loaded.iter().any(|entry| entry.covers(now, model, adapter))
     }
 
-    /// Notes that it answered that it does not hold the model or adapter.
-    pub fn deny(&mut self, now: u64, model: &str, adapter: Option<&str>) {
-        let is_same = |denial: &Denial| denial.model == model && denial.adapter.as_deref() == adapter;
-        self.denials.retain(|denial| denial.until > now && !is_same(denial));
+    /// Records that it reported the model or adapter as not loaded.
+    pub fn mark_not_loaded(&mut self, now: u64, model: &str, adapter: Option<&str>) {
+        let is_same = |entry: &NotLoaded| entry.model == model && entry.adapter.as_deref() == adapter;
+        self.not_loaded.retain(|entry| entry.until > now && !is_same(entry));
         let adapter = adapter.map(str::to_owned);
-        self.denials.push(Denial { model: model.to_owned(), adapter, until: now + DENIAL_MS });
+        self.not_loaded.push(NotLoaded { model: model.to_owned(), adapter, until: now + NOT_LOADED_MS });
     }
 
-    /// Notes a sign of life.
-    pub fn heard(&mut self, now: u64) {
-        self.heard_at = now;
-        self.health.heard(now);
+    /// Records that a part of a response arrived.
+    pub fn response_received(&mut self, now: u64) {
+        self.last_activity_at = now;
+        self.health.response_received(now);
     }
 
-    /// Adds an attempt to what is outstanding.
+    /// Adds an attempt to the outstanding ones.
     pub fn attempt_started(&mut self, now: u64, attempt: &Attempt) {
         if self.outstanding == 0 {
-            self.heard_at = now;
+            self.last_activity_at = now;
         }
         self.sends.count(now);
         self.outstanding += 1;
         self.outstanding_tokens += attempt.total_tokens;
-        self.unread_tokens += attempt.prefill_tokens;
+        self.pending_prefill_tokens += attempt.prefill_tokens;
     }
 
-    /// Notes that the attempt's prompt has been read.
-    pub fn prompt_read(&mut self, attempt: &Attempt) {
-        self.unread_tokens = self.unread_tokens.saturating_sub(attempt.prefill_tokens);
+    /// Records that the attempt's prompt has been prefilled.
+    pub fn prefill_finished(&mut self, attempt: &Attempt) {
+        self.pending_prefill_tokens = self.pending_prefill_tokens.saturating_sub(attempt.prefill_tokens);
     }
 
-    /// Takes an attempt out of what is outstanding.
+    /// Removes an attempt from the outstanding ones.
     pub fn attempt_ended(&mut self, attempt: &Attempt) {
         self.outstanding = self.outstanding.saturating_sub(1);
         self.outstanding_tokens = self.outstanding_tokens.saturating_sub(attempt.total_tokens);
         if attempt.first_byte_at.is_none() {
-            self.prompt_read(attempt);
+            self.prefill_finished(attempt);
         }
     }
 }
 
-impl Denial {
-    /// A denied model covers all its adapters; a denied adapter only itself.
+impl NotLoaded {
+    /// A model that is not loaded covers all its adapters; an adapter covers only itself.
     fn covers(&self, now: u64, model: &str, adapter: Option<&str>) -> bool {
         let adapter_covered = self.adapter.is_none() || self.adapter.as_deref() == adapter;
         self.until > now && self.model == model && adapter_covered
@@ -151,37 +152,38 @@
 }
 
 impl WorkerTable {
-    /// Replaces the list. State of workers whose id stays is kept.
+    /// Replaces the list. The state of workers that are still listed, by id, is retained.
     pub fn replace(&mut self, now: u64, views: Vec<WorkerView>) {
-        self.drop_unlisted(views.iter().map(|view| view.id.as_str()).collect());
+        self.remove_unlisted(views.iter().map(|view| view.id.as_str()).collect());
         for view in views {
-            self.put(now, view);
+            self.upsert(now, view);
         }
     }
 
-    /// Takes a list whose unchanged descriptions are those of the list before: only the others are copied.
-    /// Returns whether anything differs.
+    /// Replaces the list, given as shared descriptions: only those that are not the same object as in the previous list
+    /// are copied. Returns whether anything differs.
     pub fn replace_shared(&mut self, now: u64, views: &[Arc<WorkerView>]) -> bool {
         let mut changed = false;
         for view in views {
             let known = self.key(&view.id).and_then(|key| self.workers.get(key));
-            let is_same =
-                known.and_then(|worker| worker.told.as_ref()).is_some_and(|told| Arc::ptr_eq(told, view));
+            let is_same = known
+                .and_then(|worker| worker.shared_view.as_ref())
+                .is_some_and(|shared| Arc::ptr_eq(shared, view));
             if is_same {
                 continue;
             }
             changed = true;
-            let key = self.put(now, WorkerView::clone(view));
-            self.workers[key].told = Some(view.clone());
+            let key = self.upsert(now, WorkerView::clone(view));
+            self.workers[key].shared_view = Some(view.clone());
         }
         if self.workers.len() > views.len() {
             changed = true;
-            self.drop_unlisted(views.iter().map(|view| view.id.as_str()).collect());
+            self.remove_unlisted(views.iter().map(|view| view.id.as_str()).collect());
         }
         changed
     }
 
-    fn drop_unlisted(&mut self, listed: HashSet<&str>) {
+    fn remove_unlisted(&mut self, listed: HashSet<&str>) {
         let indexes = &mut self.indexes;
         self.workers.retain(|key, worker| {
             let is_listed = listed.contains(worker.view.id.as_str());
@@ -194,11 +196,11 @@
         self.by_id.retain(|_, key| workers.contains_key(*key));
     }
 
-    /// Takes the load of all workers, as told at one time; those that are not named have none.
-    pub fn set_loads(&mut self, told_at: u64, loads: &HashMap<String, u32>) {
+    /// Sets the peer load of all workers, as reported at one time; workers that are not named have none.
+    pub fn set_peer_loads(&mut self, reported_at: u64, loads: &HashMap<String, u32>) {
         for worker in self.workers.values_mut() {
             worker.view.peer_load = loads.get(&worker.view.id).copied().unwrap_or(0);
-            worker.view.peer_load_at = told_at;
+            worker.view.peer_load_at = reported_at;
         }
     }
 
@@ -212,7 +214,7 @@
         self.workers.get_mut(key)
     }
 
-    /// Index of a service that has workers.
+    /// Index of the service, if it has workers.
     pub fn service(&self, name: &str) -> Option<&ServiceIndex> {
         self.indexes.service(name)
     }
@@ -232,8 +234,8 @@
         self.by_id.get(id).copied()
     }
 
-    /// Adds or updates a worker.
-    fn put(&mut self, now: u64, view: WorkerView) -> WorkerKey {
+    /// Inserts or updates a worker.
+    fn upsert(&mut self, now: u64, view: WorkerView) -> WorkerKey {
         let Some(key) = self.key(&view.id) else {
             let id = view.id.clone();
             let key = self.workers.insert(WorkerState::new(now, view));
@@ -242,8 +244,8 @@
             return key;
         };
         let worker = &mut self.workers[key];
-        // Most descriptions change loads only.
-        if indexed_alike(&worker.view, &view) {
+        // Most updates change loads only and leave the indexes as they are.
+        if same_index_entries(&worker.view, &view) {
             worker.update(now, view);
         } else {
             self.indexes.remove(key, &worker.view);
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -1,4 +1,4 @@
-//! The indexes after any series of lists are those that would be made of the workers anew.
+//! Checks that incrementally updated indexes equal indexes rebuilt from the workers, after any series of lists.
 
 use std::sync::Arc;
 
@@ -9,15 +9,15 @@
 use crate::worker::{Availability, ResidentModel, WorkerView};
 
 const SEEDS: u64 = 30;
-const LISTS: u64 = 200;
+const UPDATES: u64 = 200;
 const WORKERS: u64 = 12;
 
-fn resident(random: &mut fastrand::Rng) -> ResidentModel {
+fn random_model(random: &mut fastrand::Rng) -> ResidentModel {
     let adapters = (0..random.u64(0..2)).map(|adapter| format!("adapter-{adapter}")).collect();
     ResidentModel { name: format!("model-{}", random.u64(0..4)), adapters }
 }
 
-fn drawn(random: &mut fastrand::Rng, number: u64) -> WorkerView {
+fn random_worker(random: &mut fastrand::Rng, number: u64) -> WorkerView {
     WorkerView {
         id: format!("worker-{number}"),
         service: format!("service-{}", random.u64(0..3)),
@@ -30,14 +30,14 @@
             _ => Availability::Ready,
         },
         cold_remaining_ms: 0,
-        models: (0..random.u64(0..4)).map(|_| resident(random)).collect(),
+        models: (0..random.u64(0..4)).map(|_| random_model(random)).collect(),
         peer_load: random.u32(0..3),
         peer_load_at: 0,
     }
 }
 
-/// The list after a change: some workers left out, some described anew, the others as they were.
-fn next(random: &mut fastrand::Rng, list: &[Arc<WorkerView>]) -> Vec<Arc<WorkerView>> {
+/// The next list: some workers missing, some with a new random description, the others unchanged.
+fn next_list(random: &mut fastrand::Rng, list: &[Arc<WorkerView>]) -> Vec<Arc<WorkerView>> {
     let mut next = Vec::new();
     for number in 0..WORKERS {
         let id = format!("worker-{number}");
@@ -45,13 +45,13 @@
         match (random.u32(0..10), known) {
             (0, _) => {}
             (1..8, Some(known)) => next.push(known),
-            _ => next.push(Arc::new(drawn(random, number))),
+            _ => next.push(Arc::new(random_worker(random, number))),
         }
     }
     next
 }
 
-fn made_anew(table: &WorkerTable) -> WorkerIndexes {
+fn rebuilt_indexes(table: &WorkerTable) -> WorkerIndexes {
     let mut indexes = WorkerIndexes::default();
     for (key, worker) in table.iter() {
         indexes.add(key, &worker.view);
@@ -60,18 +60,18 @@
 }
 
 #[gtest]
-fn indexes_kept_worker_by_worker_are_those_made_anew() {
+fn incremental_indexes_equal_rebuilt_indexes() {
     for seed in 0..SEEDS {
         let mut random = fastrand::Rng::with_seed(seed);
         let (mut table, mut list) = (WorkerTable::default(), Vec::new());
-        for now in 0..LISTS {
-            list = next(&mut random, &list);
+        for now in 0..UPDATES {
+            list = next_list(&mut random, &list);
             match random.bool() {
                 true => drop(table.replace_shared(now, &list)),
                 false => table.replace(now, list.iter().map(|view| WorkerView::clone(view)).collect()),
             }
             expect_that!(table.iter().count(), eq(list.len()), "seed {seed}, list {now}");
-            expect_that!(table.indexes, eq(&made_anew(&table)), "seed {seed}, list {now}");
+            expect_that!(table.indexes, eq(&rebuilt_indexes(&table)), "seed {seed}, list {now}");
         }
     }
 }
--- a/crates/routing/src/worker.rs
+++ b/crates/routing/src/worker.rs
@@ -1,7 +1,7 @@
-//! What the router is told about a worker.
+//! Description of a worker as the router receives it.
 
 slotmap::new_key_type! {
-    /// Handle of a worker in one router; it stays valid as long as the worker's id is in the list.
+    /// Handle of a worker in one router; valid as long as the worker's id is listed.
     pub struct WorkerKey;
 }
 
@@ -10,15 +10,15 @@
 pub enum Availability {
     /// It registered as ready and its heartbeats arrive.
     Ready,
-    /// It is leaving: running requests end, new ones must not be sent.
+    /// It is shutting down: running requests may finish, new ones must not be sent.
     Draining,
-    /// It has left.
+    /// It has left its service.
     Gone,
     /// Its heartbeats are overdue.
     Suspected,
 }
 
-/// A model in a worker's memory.
+/// A model loaded by a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResidentModel {
     /// Name of the model.
@@ -27,37 +27,37 @@
     pub adapters: Vec<String>,
 }
 
-/// One worker as the membership service last described it.
+/// One worker as last described by the membership service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerView {
     /// Id of this incarnation of the worker.
     pub id: String,
     /// Service it belongs to.
     pub service: String,
-    /// Address it serves at.
+    /// Address it listens on.
     pub address: String,
     /// Zone it runs in.
     pub zone: String,
-    /// Requests it works on at a time.
+    /// Requests it executes concurrently.
     pub slots: u32,
     /// Whether it may receive requests.
     pub state: Availability,
-    /// How much longer it is slow from its start, in milliseconds; counted from when the figure last changed.
+    /// Remaining warm-up time in milliseconds, during which it is slower; it runs from when the value last changed.
     pub cold_remaining_ms: u64,
-    /// Models in its memory; empty for services without models.
+    /// Models it has loaded; empty for services without models.
     pub models: Vec<ResidentModel>,
-    /// Requests that other gatekeepers have outstanding at it, as last told.
+    /// Requests that other data planes have outstanding at it, as last reported.
     pub peer_load: u32,
-    /// When `peer_load` was told, in the router's time.
+    /// When `peer_load` was reported, in the router's time.
     pub peer_load_at: u64,
 }
 
 impl WorkerView {
-    /// Whether it holds the model and, if one is named, the adapter.
+    /// Whether it has loaded the model and, if one is named, the adapter.
     pub fn holds(&self, model: &str, adapter: Option<&str>) -> bool {
         self.models.iter().any(|resident| {
             resident.name == model
-                && adapter.is_none_or(|wanted| resident.adapters.iter().any(|held| held == wanted))
+                && adapter.is_none_or(|wanted| resident.adapters.iter().any(|loaded| loaded == wanted))
         })
     }
 }
