--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -1,7 +1,7 @@
 //! Estimated cost of sending a request to a worker, in milliseconds of delay.
 
 use crate::choice::RequestProfile;
-use crate::pace::Baselines;
+use crate::latency::Baselines;
 use crate::prefix::Prefix;
 use crate::settings::RouterSettings;
 use crate::shortlist::PrefixOwners;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -12,7 +12,7 @@
 mod ejection;
 mod health;
 mod indexes;
-mod pace;
+mod latency;
 mod prefix;
 mod router;
 mod sessions;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -14,7 +14,7 @@
 use crate::choice::RequestProfile;
 use crate::ejection::{eject_within_bound, outcomes_of_others, release_beyond_bound};
 use crate::health::is_failure;
-use crate::pace::Baselines;
+use crate::latency::Baselines;
 use crate::prefix::shared_prefixes;
 use crate::sessions::SessionAffinity;
 use crate::settings::RouterSettings;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -13,7 +13,7 @@
 use crate::attempt::Attempt;
 use crate::health::Health;
 use crate::indexes::{same_index_entries, ServiceIndex, WorkerIndexes};
-use crate::pace::{SendRate, Slowness};
+use crate::latency::{SendRate, Slowness};
 use crate::prefix::PrefixCache;
 use crate::worker::{WorkerKey, WorkerView};
 
