--- a/crates/routing/tests/balance.rs
+++ b/crates/routing/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Balance of load over engines by gatekeepers with stale knowledge of each other.
+//! Load balance over workers by data planes whose peer loads are stale.
 
 mod support;
 
@@ -8,16 +8,16 @@
 
 const SEEDS: std::ops::Range<u64> = 0..4;
 
-/// Nine gatekeepers before engines of which about two thirds are taken.
-const NINE: Fleet = Fleet { gatekeepers: 9, workers: 12, slots: 32, per_second: 150.0, length_ms: 12_000 };
-/// Sixty gatekeepers, each of which sees little of the load itself.
-const SIXTY: Fleet = Fleet { gatekeepers: 60, workers: 40, slots: 32, per_second: 500.0, length_ms: 6_000 };
+/// Nine data planes, with about two thirds of the workers' slots in use.
+const NINE: Fleet = Fleet { data_planes: 9, workers: 12, slots: 32, per_second: 150.0, duration_ms: 12_000 };
+/// Sixty data planes, each of which sends only a small part of the load itself.
+const SIXTY: Fleet = Fleet { data_planes: 60, workers: 40, slots: 32, per_second: 500.0, duration_ms: 6_000 };
 
-/// Bound on the most loaded engine's requests over the mean, at nine gatekeepers and at sixty.
-const MOST_OVER_MEAN_NINE: f64 = 1.3;
-const MOST_OVER_MEAN_SIXTY: f64 = 1.42;
-/// Bound on the shared prompt tokens read again, at sixty gatekeepers.
-const READ_AGAIN_SIXTY: f64 = 0.17;
+/// Bounds on the most loaded worker's requests over the mean, with nine and with sixty data planes.
+const MAX_OVER_MEAN_NINE: f64 = 1.3;
+const MAX_OVER_MEAN_SIXTY: f64 = 1.42;
+/// Bound on the share of shared prompt tokens prefilled again, with sixty data planes.
+const REPEATED_PREFILL_SIXTY: f64 = 0.17;
 
 fn default_router() -> Policy {
     Policy::Router(RouterSettings::for_zone("a"))
@@ -29,62 +29,62 @@
     Policy::Router(settings)
 }
 
-/// Runs all seeds and returns the report that is worst by `measure`, with its seed.
-fn worst(fleet: Fleet, policy: &Policy, measure: impl Fn(&Report) -> f64) -> (u64, f64) {
+/// The highest value of `measure` over all seeds, with its seed.
+fn highest(fleet: Fleet, policy: &Policy, measure: impl Fn(&Report) -> f64) -> (u64, f64) {
     let measured = SEEDS.map(|seed| (seed, measure(&run(fleet, policy, seed))));
     measured.max_by(|one, other| one.1.total_cmp(&other.1)).expect("there are seeds")
 }
 
-/// The least of all seeds by `measure`.
-fn best(fleet: Fleet, policy: &Policy, measure: impl Fn(&Report) -> f64) -> f64 {
+/// The lowest value of `measure` over all seeds.
+fn lowest(fleet: Fleet, policy: &Policy, measure: impl Fn(&Report) -> f64) -> f64 {
     SEEDS.map(|seed| measure(&run(fleet, policy, seed))).fold(f64::MAX, f64::min)
 }
 
 #[gtest]
-fn nine_gatekeepers_balance_engines() {
-    let (seed, most) = worst(NINE, &default_router(), |report| report.max_over_mean);
-    expect_that!(most, lt(MOST_OVER_MEAN_NINE), "seed {seed}");
-    let (seed, first_token) = worst(NINE, &default_router(), |report| report.first_token_p95_ms as f64);
+fn nine_data_planes_balance_workers() {
+    let (seed, max_over_mean) = highest(NINE, &default_router(), |report| report.max_over_mean);
+    expect_that!(max_over_mean, lt(MAX_OVER_MEAN_NINE), "seed {seed}");
+    let (seed, first_token) = highest(NINE, &default_router(), |report| report.first_token_p95_ms as f64);
     expect_that!(first_token, lt(80.0), "seed {seed}");
-    let (seed, refused) = worst(NINE, &default_router(), |report| report.refused as f64);
+    let (seed, refused) = highest(NINE, &default_router(), |report| report.refused as f64);
     expect_that!(refused, eq(0.0), "seed {seed}");
 }
 
 #[gtest]
-fn sixty_gatekeepers_do_not_herd() {
-    let (seed, most) = worst(SIXTY, &default_router(), |report| report.max_over_mean);
-    expect_that!(most, lt(MOST_OVER_MEAN_SIXTY), "seed {seed}");
+fn sixty_data_planes_do_not_herd() {
+    let (seed, max_over_mean) = highest(SIXTY, &default_router(), |report| report.max_over_mean);
+    expect_that!(max_over_mean, lt(MAX_OVER_MEAN_SIXTY), "seed {seed}");
 }
 
 #[gtest]
-fn prompts_gather_without_being_told() {
-    let (seed, read_again) = worst(SIXTY, &default_router(), |report| report.read_again);
-    expect_that!(read_again, lt(READ_AGAIN_SIXTY), "seed {seed}");
+fn shared_prompts_reach_the_same_workers_without_coordination() {
+    let (seed, repeated_prefill) = highest(SIXTY, &default_router(), |report| report.repeated_prefill);
+    expect_that!(repeated_prefill, lt(REPEATED_PREFILL_SIXTY), "seed {seed}");
 }
 
 #[gtest]
-fn the_checks_notice_worse_policies() {
-    for policy in [Policy::Random, Policy::LeastSeen] {
-        let most = best(NINE, &policy, |report| report.max_over_mean);
-        expect_that!(most, gt(MOST_OVER_MEAN_NINE), "{policy:?}");
-        let most = best(SIXTY, &policy, |report| report.max_over_mean);
-        expect_that!(most, gt(MOST_OVER_MEAN_SIXTY), "{policy:?}");
+fn the_checks_detect_worse_policies() {
+    for policy in [Policy::Random, Policy::LeastKnownLoad] {
+        let max_over_mean = lowest(NINE, &policy, |report| report.max_over_mean);
+        expect_that!(max_over_mean, gt(MAX_OVER_MEAN_NINE), "{policy:?}");
+        let max_over_mean = lowest(SIXTY, &policy, |report| report.max_over_mean);
+        expect_that!(max_over_mean, gt(MAX_OVER_MEAN_SIXTY), "{policy:?}");
     }
 }
 
 #[gtest]
-fn the_checks_notice_a_router_that_compares_all_workers() {
+fn the_checks_detect_a_router_that_compares_all_workers() {
     let policy = changed_router(|settings| {
         settings.unseen_requests = f64::MAX;
         settings.kept_prompt_weight = 0.0;
     });
-    let most = best(SIXTY, &policy, |report| report.max_over_mean);
-    expect_that!(most, gt(MOST_OVER_MEAN_SIXTY));
+    let max_over_mean = lowest(SIXTY, &policy, |report| report.max_over_mean);
+    expect_that!(max_over_mean, gt(MAX_OVER_MEAN_SIXTY));
 }
 
 #[gtest]
-fn the_checks_notice_a_router_that_does_not_value_kept_prompts() {
+fn the_checks_detect_a_router_that_ignores_cached_prompts() {
     let policy = changed_router(|settings| settings.kept_prompt_weight = 0.0);
-    let read_again = best(SIXTY, &policy, |report| report.read_again);
-    expect_that!(read_again, gt(READ_AGAIN_SIXTY));
+    let repeated_prefill = lowest(SIXTY, &policy, |report| report.repeated_prefill);
+    expect_that!(repeated_prefill, gt(REPEATED_PREFILL_SIXTY));
 }
--- a/crates/routing/tests/choose.rs
+++ b/crates/routing/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Choice of a worker: availability, residency, load, kept prompts, sessions.
+//! Choice of a worker: availability, loaded models, load, cached prompts, sessions.
 
 mod support;
 
@@ -7,13 +7,13 @@
 use switchhill_routing::*;
 
 #[gtest]
-fn a_service_without_workers_has_none() {
+fn a_service_without_workers_yields_no_worker() {
     let mut router = Router::new(RouterSettings::default(), 1);
     expect_that!(router.choose(0, &request(0), &[]), eq(Choice::NoWorker));
 }
 
 #[gtest]
-fn only_workers_that_are_ready_receive_requests() {
+fn only_ready_workers_receive_requests() {
     for state in [Availability::Draining, Availability::Gone, Availability::Suspected] {
         let mut router = router(1, 2);
         let mut views = workers(2);
@@ -28,7 +28,7 @@
 }
 
 #[gtest]
-fn a_worker_that_drains_after_the_choice_may_not_be_sent_to() {
+fn nothing_may_be_sent_to_a_worker_that_drains_after_the_choice() {
     let mut router = router(1, 1);
     let key = chosen(&mut router, 0, &request(0), &[]);
     expect_that!(router.may_send(0, key), eq(true));
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn a_model_or_adapter_held_nowhere_is_missing() {
+fn a_model_or_adapter_that_no_worker_holds_is_not_loaded() {
     let mut router = router(1, 3);
     let mut other_model = request(0);
     other_model.model = Some("small".to_owned());
@@ -55,7 +55,7 @@
 }
 
 #[gtest]
-fn a_draining_holder_counts_as_none() {
+fn a_model_that_only_a_draining_worker_holds_is_not_loaded() {
     let mut router = router(1, 2);
     let mut views = workers(2);
     views[0].state = Availability::Draining;
@@ -70,12 +70,12 @@
     let first = chosen(&mut router, 0, &request(0), &[]);
     let second = chosen(&mut router, 0, &request(0), &[first]);
     expect_that!(second, not(eq(first)));
-    let answer = router.choose(0, &request(0), &[first, second]);
-    expect_that!(answer, matches_pattern!(Choice::Busy { .. }));
+    let choice = router.choose(0, &request(0), &[first, second]);
+    expect_that!(choice, matches_pattern!(Choice::Busy { .. }));
 }
 
 #[gtest]
-fn a_denied_model_is_disbelieved_until_the_list_changes() {
+fn a_model_reported_as_not_loaded_is_skipped_until_the_model_list_changes() {
     let mut router = router(1, 1);
     let key = chosen(&mut router, 0, &request(0), &[]);
     router.model_not_loaded(0, key, &request(0));
@@ -84,7 +84,7 @@
     expect_that!(
         router.choose(2, &request(0), &[]),
         eq(Choice::ModelNotLoaded),
-        "the same list tells nothing new"
+        "an unchanged list is no new evidence"
     );
     let mut views = workers(1);
     views[0].models[0].adapters.clear();
@@ -93,7 +93,7 @@
 }
 
 #[gtest]
-fn a_denied_adapter_leaves_its_model() {
+fn an_adapter_reported_as_not_loaded_does_not_affect_its_model() {
     let mut router = router(1, 1);
     let key = chosen(&mut router, 0, &request(0), &[]);
     let mut adapter = request(0);
@@ -104,7 +104,7 @@
 }
 
 #[gtest]
-fn a_suspected_worker_is_used_only_if_it_answered_lately() {
+fn a_suspected_worker_is_used_only_if_it_responded_recently() {
     let mut router = router(1, 1);
     let key = chosen(&mut router, 0, &request(0), &[]);
     let mut views = workers(1);
@@ -129,7 +129,7 @@
 }
 
 #[gtest]
-fn requests_of_other_gatekeepers_count_until_their_figure_is_old() {
+fn peer_load_counts_until_it_is_stale() {
     let mut router = router(1, 2);
     let mut views = workers(2);
     views[0].peer_load = 30;
@@ -146,7 +146,7 @@
 }
 
 #[gtest]
-fn large_prompts_not_read_yet_weigh_more_than_small_ones() {
+fn pending_prefill_of_a_large_prompt_outweighs_several_small_ones() {
     let mut router = router(1, 2);
     let first = chosen(&mut router, 0, &request(0), &[]);
     let second = chosen(&mut router, 0, &request(0), &[first]);
@@ -160,7 +160,7 @@
 }
 
 #[gtest]
-fn memory_promised_spreads_large_requests() {
+fn reserved_kv_cache_spreads_large_requests() {
     let mut router = router(1, 2);
     router.set_kv_cache_tokens(SERVICE, 20_000);
     let first = chosen(&mut router, 0, &request(0), &[]);
@@ -176,8 +176,8 @@
     expect_that!(chosen(&mut router, 20, &large, &[]), eq(second));
 }
 
-/// A request with a shared part, by serial.
-fn shared(serial: u64) -> RequestProfile {
+/// A request whose prompt begins with a short shared part.
+fn with_short_shared_part(serial: u64) -> RequestProfile {
     let mut profile = request(serial);
     profile.prompt_parts.insert(0, PromptPart { id: 7, tokens: 400 });
     profile.prompt_tokens += 400;
@@ -185,34 +185,34 @@
 }
 
 #[gtest]
-fn a_kept_prompt_draws_requests_until_the_load_differs_much() {
+fn a_cached_prompt_attracts_requests_until_the_load_differs_much() {
     let mut router = router(1, 4);
-    let first = chosen(&mut router, 0, &shared(0), &[]);
-    let attempt = router.sent(0, first, &shared(0));
+    let first = chosen(&mut router, 0, &with_short_shared_part(0), &[]);
+    let attempt = router.sent(0, first, &with_short_shared_part(0));
     router.finished(50, attempt, AttemptOutcome::Success);
     for serial in 1..5 {
-        expect_that!(chosen(&mut router, 60, &shared(serial), &[]), eq(first));
+        expect_that!(chosen(&mut router, 60, &with_short_shared_part(serial), &[]), eq(first));
     }
     for serial in 100..130 {
         router.sent(60, first, &request(serial));
     }
-    expect_that!(chosen(&mut router, 60, &shared(9), &[]), not(eq(first)));
+    expect_that!(chosen(&mut router, 60, &with_short_shared_part(9), &[]), not(eq(first)));
 }
 
 #[gtest]
-fn a_prompt_kept_for_another_adapter_does_not_count() {
+fn a_prompt_cached_for_another_adapter_does_not_count() {
     let mut router = router(1, 8);
-    let first = chosen(&mut router, 0, &shared(0), &[]);
-    let attempt = router.sent(0, first, &shared(0));
+    let first = chosen(&mut router, 0, &with_short_shared_part(0), &[]);
+    let attempt = router.sent(0, first, &with_short_shared_part(0));
     router.finished(50, attempt, AttemptOutcome::Success);
-    let mut adapter = shared(1);
+    let mut adapter = with_short_shared_part(1);
     adapter.adapter = Some("fine".to_owned());
-    let elsewhere = (0..100).filter(|_| chosen(&mut router, 60, &adapter, &[]) != first).count();
-    expect_that!(elsewhere, gt(50));
+    let others = (0..100).filter(|_| chosen(&mut router, 60, &adapter, &[]) != first).count();
+    expect_that!(others, gt(50));
 }
 
 #[gtest]
-fn a_session_stays_with_its_worker() {
+fn a_session_stays_with_its_worker_until_the_load_differs_much() {
     let mut router = router(3, 8);
     let mut profile = request(0);
     profile.session = Some(42);
@@ -229,7 +229,7 @@
 }
 
 #[gtest]
-fn a_cold_worker_receives_less() {
+fn a_cold_worker_receives_fewer_requests() {
     let mut router = router(1, 2);
     let mut views = workers(2);
     views[0].cold_remaining_ms = 5_000;
@@ -247,7 +247,7 @@
 }
 
 #[gtest]
-fn a_slow_worker_receives_less() {
+fn a_slow_worker_receives_fewer_requests() {
     let mut router = router(5, 2);
     for round in 0..40 {
         let now = round * 100;
@@ -269,18 +269,18 @@
 }
 
 #[gtest]
-fn a_worker_that_has_gone_quiet_is_avoided_before_it_times_out() {
+fn a_silent_worker_is_avoided_before_its_requests_time_out() {
     let mut router = router(1, 2);
-    let quiet = chosen(&mut router, 0, &request(0), &[]);
-    router.sent(0, quiet, &request(0));
-    let lively = chosen(&mut router, 0, &request(1), &[quiet]);
+    let silent = chosen(&mut router, 0, &request(0), &[]);
+    router.sent(0, silent, &request(0));
+    let active = chosen(&mut router, 0, &request(1), &[silent]);
     for serial in 1..6 {
-        let attempt = router.sent(0, lively, &request(serial));
+        let attempt = router.sent(0, active, &request(serial));
         router.progress(790, attempt);
     }
-    expect_that!(chosen(&mut router, 100, &request(9), &[]), eq(quiet), "it has fewer requests");
+    expect_that!(chosen(&mut router, 100, &request(9), &[]), eq(silent), "it has fewer requests");
     for serial in 10..60 {
-        expect_that!(chosen(&mut router, 800, &request(serial), &[]), eq(lively));
+        expect_that!(chosen(&mut router, 800, &request(serial), &[]), eq(active));
     }
 }
 
@@ -288,18 +288,18 @@
 fn full_workers_make_the_service_busy() {
     let mut router = router(1, 1);
     let mut sent = 0;
-    while let Choice::Send(key) = router.choose(0, &plain_request(), &[]) {
-        router.sent(0, key, &plain_request());
+    while let Choice::Send(key) = router.choose(0, &request_without_model(), &[]) {
+        router.sent(0, key, &request_without_model());
         sent += 1;
         assert!(sent < 1_000, "a worker with 32 slots got {sent} requests");
     }
     expect_that!(sent, eq(64));
-    let answer = router.choose(0, &plain_request(), &[]);
-    expect_that!(answer, matches_pattern!(Choice::Busy { retry_after_ms: gt(0) }));
+    let choice = router.choose(0, &request_without_model(), &[]);
+    expect_that!(choice, matches_pattern!(Choice::Busy { retry_after_ms: gt(0) }));
 }
 
 #[gtest]
-fn outstanding_tells_what_is_out() {
+fn outstanding_counts_unfinished_attempts() {
     let mut router = router(1, 1);
     let key = chosen(&mut router, 0, &request(0), &[]);
     let attempt = router.sent(0, key, &request(0));
@@ -311,66 +311,70 @@
 }
 
 #[gtest]
-fn loads_that_are_no_longer_told_do_not_keep_a_service_busy() {
+fn stale_peer_loads_do_not_keep_a_service_busy() {
     let mut router = router(1, 2);
     let mut views = workers(2);
     views.iter_mut().for_each(|view| view.peer_load = 500);
     router.set_workers(0, views);
-    expect_that!(router.choose(0, &plain_request(), &[]), matches_pattern!(Choice::Busy { .. }));
-    expect_that!(router.choose(30_000, &plain_request(), &[]), matches_pattern!(Choice::Send(_)));
+    expect_that!(router.choose(0, &request_without_model(), &[]), matches_pattern!(Choice::Busy { .. }));
+    expect_that!(router.choose(30_000, &request_without_model(), &[]), matches_pattern!(Choice::Send(_)));
 }
 
 #[gtest]
-fn a_cold_time_told_again_unchanged_runs_down() {
+fn an_unchanged_cold_time_keeps_counting_down() {
     let mut router = router(1, 2);
     let mut views = workers(2);
     views[0].cold_remaining_ms = 1_000;
     for now in (0..5_000).step_by(200) {
         router.set_workers(now, views.clone());
     }
-    let chosen_again = (0..100).filter(|serial| {
+    let warm = (0..100).filter(|serial| {
         let key = chosen(&mut router, 5_000, &request(*serial), &[]);
         id(&router, key) == "w0"
     });
-    expect_that!(chosen_again.count(), gt(20));
+    expect_that!(warm.count(), gt(20));
 }
 
-/// A request with a shared prompt that takes long to read.
-fn with_shared_prompt(serial: u64) -> RequestProfile {
+/// A request whose prompt begins with a long shared part, which takes long to prefill.
+fn with_long_shared_part(serial: u64) -> RequestProfile {
     let shared = PromptPart { id: 7, tokens: 6_000 };
     let own = PromptPart { id: 1_000 + serial, tokens: 400 };
     RequestProfile { prompt_parts: vec![shared, own], prompt_tokens: 6_400, ..request(serial) }
 }
 
-/// Tells that others have so many requests at one worker and so many at each of the rest.
-fn tell_loads(router: &mut Router, now: u64, busy: &str, at_busy: u32, elsewhere: u32) {
-    let load = |view: &WorkerView| if view.id == busy { at_busy } else { elsewhere };
+/// Reports peer loads: `busy_load` at the worker `busy` and `other_load` at each of the others.
+fn report_peer_loads(router: &mut Router, now: u64, busy: &str, busy_load: u32, other_load: u32) {
+    let load = |view: &WorkerView| if view.id == busy { busy_load } else { other_load };
     let loads = router.workers().map(|(view, _)| (view.id.clone(), load(view))).collect();
     router.set_peer_loads(now, &loads);
 }
 
 #[gtest]
-fn a_kept_prompt_outweighs_some_load_but_not_a_crowd() {
+fn a_cached_prompt_outweighs_some_load_but_not_an_overload() {
     let mut router = router(1, 4);
-    let key = chosen(&mut router, 0, &with_shared_prompt(0), &[]);
-    let home = id(&router, key);
-    for (at_home, stays) in [(8, true), (12, true), (18, false), (40, false)] {
-        tell_loads(&mut router, 1_000, &home, at_home, 4);
+    let key = chosen(&mut router, 0, &with_long_shared_part(0), &[]);
+    let owner = id(&router, key);
+    for (owner_load, stays) in [(8, true), (12, true), (18, false), (40, false)] {
+        report_peer_loads(&mut router, 1_000, &owner, owner_load, 4);
         for serial in 0..20 {
-            let key = chosen(&mut router, 1_000, &with_shared_prompt(serial), &[]);
-            expect_that!(id(&router, key) == home, eq(stays), "{at_home} requests at the home, 4 elsewhere");
+            let key = chosen(&mut router, 1_000, &with_long_shared_part(serial), &[]);
+            expect_that!(
+                id(&router, key) == owner,
+                eq(stays),
+                "{owner_load} requests at the owner, 4 at each other worker"
+            );
         }
     }
 }
 
 #[gtest]
-fn a_crowded_worker_is_used_where_no_other_may_be() {
+fn an_overloaded_worker_is_used_if_no_other_is_allowed() {
     let mut router = router(1, 2);
-    let key = chosen(&mut router, 0, &with_shared_prompt(0), &[]);
-    let home = id(&router, key);
-    tell_loads(&mut router, 1_000, &home, 25, 2);
-    let other = chosen(&mut router, 1_000, &with_shared_prompt(1), &[]);
-    expect_that!(id(&router, other), not(eq(&home)));
-    let again = chosen(&mut router, 1_000, &with_shared_prompt(1), &[other]);
-    expect_that!(id(&router, again), eq(&home));
+    let key = chosen(&mut router, 0, &with_long_shared_part(0), &[]);
+    let owner = id(&router, key);
+    report_peer_loads(&mut router, 1_000, &owner, 25, 2);
+    let other = chosen(&mut router, 1_000, &with_long_shared_part(1), &[]);
+    expect_that!(id(&router, other), not(eq(&owner)));
+    let again = chosen(&mut router, 1_000, &with_long_shared_part(1), &[other]);
+    expect_that!(id(&router, again), eq(&owner));
 }
--- a/crates/routing/tests/ejection.rs
+++ b/crates/routing/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejection of failing workers, its bounds, trials and rests.
+//! Ejection of failing workers: its bounds, trials, and backoff.
 
 mod support;
 
@@ -8,8 +8,9 @@
 use support::*;
 use switchhill_routing::*;
 
-/// Sends to the worker `count` requests of different clients, 20 ms apart, that all end in `outcome`.
-fn run_at(router: &mut Router, from: u64, key: WorkerKey, count: u64, outcome: AttemptOutcome) -> u64 {
+/// Sends `count` requests of different clients to the worker, 20 ms apart, which all end in `outcome`. Returns the time
+/// after the last.
+fn send_requests(router: &mut Router, from: u64, key: WorkerKey, count: u64, outcome: AttemptOutcome) -> u64 {
     for step in 0..count {
         let now = from + step * 20;
         let attempt = router.sent(now, key, &request(now));
@@ -18,8 +19,8 @@
     from + count * 20
 }
 
-/// Ids of the workers that requests get at `now`, without waiting for answers.
-fn served_by(router: &mut Router, now: u64) -> HashSet<String> {
+/// Ids of the workers chosen for requests at `now`; each request is cancelled before it is answered.
+fn chosen_ids(router: &mut Router, now: u64) -> HashSet<String> {
     let mut ids = HashSet::new();
     for serial in 0..200 {
         if let Choice::Send(key) = router.choose(now, &request(serial), &[]) {
@@ -32,13 +33,13 @@
 }
 
 #[gtest]
-fn errors_cut_answers_and_time_outs_eject() {
+fn server_errors_broken_responses_and_timeouts_eject() {
     for outcome in [AttemptOutcome::WorkerError(500), AttemptOutcome::Broken, AttemptOutcome::TimedOut] {
         let mut router = router(1, 4);
         let bad = key_of(&mut router, 0, "w1");
-        let now = run_at(&mut router, 0, bad, 3, outcome);
-        expect_that!(served_by(&mut router, now), not(contains(eq("w1"))), "{outcome:?}");
-        expect_that!(served_by(&mut router, now).len(), eq(3), "{outcome:?}");
+        let now = send_requests(&mut router, 0, bad, 3, outcome);
+        expect_that!(chosen_ids(&mut router, now), not(contains(eq("w1"))), "{outcome:?}");
+        expect_that!(chosen_ids(&mut router, now).len(), eq(3), "{outcome:?}");
     }
 }
 
@@ -46,12 +47,12 @@
 fn two_failures_do_not_eject() {
     let mut router = router(1, 4);
     let bad = key_of(&mut router, 0, "w1");
-    let now = run_at(&mut router, 0, bad, 2, AttemptOutcome::Broken);
-    expect_that!(served_by(&mut router, now), contains(eq("w1")));
+    let now = send_requests(&mut router, 0, bad, 2, AttemptOutcome::Broken);
+    expect_that!(chosen_ids(&mut router, now), contains(eq("w1")));
 }
 
 #[gtest]
-fn outcomes_that_say_nothing_of_the_worker_do_not_eject() {
+fn outcomes_that_are_no_evidence_against_the_worker_do_not_eject() {
     for outcome in [
         AttemptOutcome::Success,
         AttemptOutcome::WorkerError(404),
@@ -60,16 +61,16 @@
     ] {
         let mut router = router(1, 2);
         let key = key_of(&mut router, 0, "w1");
-        let now = run_at(&mut router, 0, key, 30, outcome);
-        expect_that!(served_by(&mut router, now), contains(eq("w1")), "{outcome:?}");
-        // Nor do they add to a failure that does.
-        let now = run_at(&mut router, now, key, 1, AttemptOutcome::Broken);
-        expect_that!(served_by(&mut router, now), contains(eq("w1")), "{outcome:?}");
+        let now = send_requests(&mut router, 0, key, 30, outcome);
+        expect_that!(chosen_ids(&mut router, now), contains(eq("w1")), "{outcome:?}");
+        // Nor do they count together with a later failure.
+        let now = send_requests(&mut router, now, key, 1, AttemptOutcome::Broken);
+        expect_that!(chosen_ids(&mut router, now), contains(eq("w1")), "{outcome:?}");
     }
 }
 
 #[gtest]
-fn one_client_alone_cannot_eject_a_worker() {
+fn failures_of_a_single_client_do_not_eject() {
     let mut router = router(1, 4);
     let key = key_of(&mut router, 0, "w1");
     let mut profile = request(0);
@@ -78,7 +79,7 @@
         let attempt = router.sent(now, key, &profile);
         router.finished(now, attempt, AttemptOutcome::WorkerError(500));
     }
-    expect_that!(served_by(&mut router, 20), contains(eq("w1")));
+    expect_that!(chosen_ids(&mut router, 20), contains(eq("w1")));
 }
 
 #[gtest]
@@ -86,14 +87,14 @@
     let mut router = router(1, 4);
     let key = key_of(&mut router, 0, "w1");
     for round in 0..10 {
-        run_at(&mut router, round * 100, key, 4, AttemptOutcome::Success);
-        let now = run_at(&mut router, round * 100 + 80, key, 1, AttemptOutcome::WorkerError(500));
-        expect_that!(served_by(&mut router, now), contains(eq("w1")), "round {round}");
+        send_requests(&mut router, round * 100, key, 4, AttemptOutcome::Success);
+        let now = send_requests(&mut router, round * 100 + 80, key, 1, AttemptOutcome::WorkerError(500));
+        expect_that!(chosen_ids(&mut router, now), contains(eq("w1")), "round {round}");
     }
 }
 
 #[gtest]
-fn a_service_that_fails_as_a_whole_ejects_nobody() {
+fn failures_of_the_whole_service_eject_no_worker() {
     let mut router = router(1, 6);
     let keys: Vec<WorkerKey> = (0..6).map(|index| key_of(&mut router, 0, &format!("w{index}"))).collect();
     for round in 0..10 {
@@ -104,42 +105,42 @@
             router.finished(round * 50 + 5, attempt, outcome);
         }
     }
-    expect_that!(served_by(&mut router, 520).len(), eq(6));
+    expect_that!(chosen_ids(&mut router, 520).len(), eq(6));
 }
 
 #[gtest]
-fn at_most_a_third_is_out_at_once() {
+fn at_most_a_third_of_the_workers_is_ejected_at_once() {
     for (count, most) in [(1, 0), (2, 1), (3, 1), (4, 1), (6, 2), (9, 3), (18, 6)] {
         let mut router = router(1, count);
         for index in 0..count {
             let key = key_of(&mut router, 0, &format!("w{index}"));
-            // One after the other, so that each looks far worse than those after it.
-            run_at(&mut router, 0, key, 4, AttemptOutcome::Broken);
+            // The workers fail one after the other, so that each has a far higher failure rate than those after it.
+            send_requests(&mut router, 0, key, 4, AttemptOutcome::Broken);
         }
-        let served = served_by(&mut router, 100).len();
-        expect_that!(count - served, le(most), "{count} workers");
-        expect_that!(count - served, ge(most.min(1)), "{count} workers: the first must be out");
+        let in_use = chosen_ids(&mut router, 100).len();
+        expect_that!(count - in_use, le(most), "{count} workers");
+        expect_that!(count - in_use, ge(most.min(1)), "{count} workers: the first must be ejected");
     }
 }
 
 #[gtest]
-fn ejections_end_where_the_service_shrinks() {
+fn ejections_beyond_the_bound_end_when_the_service_shrinks() {
     let mut router = router(1, 9);
     for index in 0..3 {
         let key = key_of(&mut router, 0, &format!("w{index}"));
-        run_at(&mut router, 0, key, 4, AttemptOutcome::Broken);
+        send_requests(&mut router, 0, key, 4, AttemptOutcome::Broken);
     }
-    expect_that!(served_by(&mut router, 100).len(), eq(6));
+    expect_that!(chosen_ids(&mut router, 100).len(), eq(6));
     router.set_workers(100, workers(4));
-    expect_that!(served_by(&mut router, 100).len(), eq(3));
+    expect_that!(chosen_ids(&mut router, 100).len(), eq(3));
 }
 
 #[gtest]
-fn a_single_trial_decides_about_the_way_back() {
+fn a_single_trial_decides_whether_an_ejected_worker_returns() {
     let mut router = router(1, 2);
     let bad = key_of(&mut router, 0, "w1");
     let other = key_of(&mut router, 0, "w0");
-    let now = run_at(&mut router, 0, bad, 3, AttemptOutcome::Broken) + 1_100;
+    let now = send_requests(&mut router, 0, bad, 3, AttemptOutcome::Broken) + 1_100;
     let trial = chosen(&mut router, now, &request(0), &[other]);
     expect_that!(trial, eq(bad));
     let attempt = router.sent(now, trial, &request(0));
@@ -154,23 +155,24 @@
     let mut router = router(1, 2);
     let bad = key_of(&mut router, 0, "w1");
     let other = key_of(&mut router, 0, "w0");
-    let mut now = run_at(&mut router, 0, bad, 3, AttemptOutcome::Broken);
+    let mut now = send_requests(&mut router, 0, bad, 3, AttemptOutcome::Broken);
     for expected in [1_000, 2_000, 4_000, 8_000, 8_000] {
-        let out = (0..20_000).step_by(50).find(|wait| {
-            let keys = served_keys(&mut router, now + wait);
+        let ejected_ms = (0..20_000).step_by(50).find(|wait| {
+            let keys = chosen_keys(&mut router, now + wait);
             keys.contains(&bad)
         });
-        let out = out.unwrap_or_else(|| panic!("never back after {expected} ms"));
-        expect_that!(out.abs_diff(expected), le(100), "expected {expected}, was out for {out}");
-        now += out;
+        let ejected_ms =
+            ejected_ms.unwrap_or_else(|| panic!("never chosen again after an ejection of {expected} ms"));
+        expect_that!(ejected_ms.abs_diff(expected), le(100), "expected {expected}, was {ejected_ms}");
+        now += ejected_ms;
         let attempt = router.sent(now, bad, &request(0));
         router.finished(now, attempt, AttemptOutcome::TimedOut);
-        run_at(&mut router, now, other, 3, AttemptOutcome::Success);
+        send_requests(&mut router, now, other, 3, AttemptOutcome::Success);
     }
 }
 
-/// Keys chosen without sending anything.
-fn served_keys(router: &mut Router, now: u64) -> HashSet<WorkerKey> {
+/// Keys of the workers chosen at `now`, without sending anything.
+fn chosen_keys(router: &mut Router, now: u64) -> HashSet<WorkerKey> {
     let mut keys = HashSet::new();
     for serial in 0..60 {
         if let Choice::Send(key) = router.choose(now, &request(serial), &[]) {
@@ -181,11 +183,11 @@
 }
 
 #[gtest]
-fn a_cancelled_trial_leaves_the_question_open() {
+fn a_cancelled_trial_is_followed_by_another() {
     let mut router = router(1, 2);
     let bad = key_of(&mut router, 0, "w1");
     let other = key_of(&mut router, 0, "w0");
-    let now = run_at(&mut router, 0, bad, 3, AttemptOutcome::Broken) + 1_100;
+    let now = send_requests(&mut router, 0, bad, 3, AttemptOutcome::Broken) + 1_100;
     let attempt = router.sent(now, bad, &request(0));
     router.finished(now + 5, attempt, AttemptOutcome::Cancelled);
     let attempt = router.sent(now + 6, bad, &request(1));
@@ -202,7 +204,7 @@
     views[2].models.clear();
     router.set_workers(0, views);
     let holder = chosen(&mut router, 0, &request(0), &[]);
-    let mut now = run_at(&mut router, 0, holder, 3, AttemptOutcome::Broken);
+    let mut now = send_requests(&mut router, 0, holder, 3, AttemptOutcome::Broken);
     for _ in 0..3 {
         expect_that!(router.choose(now, &request(0), &[]), matches_pattern!(Choice::Busy { .. }));
         now += 1_000;
@@ -213,80 +215,80 @@
 }
 
 #[gtest]
-fn a_refused_connection_rests_a_worker_at_once_and_longer_each_time() {
+fn connect_failures_back_off_exponentially() {
     let mut router = router(1, 3);
     let bad = key_of(&mut router, 0, "w1");
     let mut now = 0;
     for expected in [300, 600, 1_200] {
         let attempt = router.sent(now, bad, &request(0));
         router.finished(now, attempt, AttemptOutcome::ConnectFailed);
-        expect_that!(served_by(&mut router, now + expected - 1), not(contains(eq("w1"))));
-        expect_that!(served_by(&mut router, now + expected), contains(eq("w1")));
+        expect_that!(chosen_ids(&mut router, now + expected - 1), not(contains(eq("w1"))));
+        expect_that!(chosen_ids(&mut router, now + expected), contains(eq("w1")));
         now += expected;
     }
     let attempt = router.sent(now, bad, &request(0));
     router.first_byte(now + 5, attempt);
     router.finished(now + 9, attempt, AttemptOutcome::ConnectFailed);
-    expect_that!(served_by(&mut router, now + 9 + 300), contains(eq("w1")), "an answer starts it anew");
+    expect_that!(chosen_ids(&mut router, now + 9 + 300), contains(eq("w1")), "a response resets the backoff");
 }
 
 #[gtest]
-fn refused_connections_together_count_once() {
+fn concurrent_connect_failures_count_once() {
     let mut router = router(1, 3);
     let bad = key_of(&mut router, 0, "w1");
     let attempts: Vec<AttemptKey> = (0..10).map(|serial| router.sent(0, bad, &request(serial))).collect();
     for attempt in attempts {
         router.finished(1, attempt, AttemptOutcome::ConnectFailed);
     }
-    expect_that!(served_by(&mut router, 1 + 600), contains(eq("w1")));
+    expect_that!(chosen_ids(&mut router, 1 + 600), contains(eq("w1")));
 }
 
 #[gtest]
-fn where_all_are_unreachable_the_first_to_end_its_rest_is_tried() {
+fn if_all_workers_are_unreachable_the_first_to_end_its_backoff_is_chosen() {
     let mut router = router(1, 2);
     let first = key_of(&mut router, 0, "w0");
     let second = key_of(&mut router, 0, "w1");
-    run_at(&mut router, 0, first, 1, AttemptOutcome::ConnectFailed);
-    run_at(&mut router, 20, second, 1, AttemptOutcome::ConnectFailed);
+    send_requests(&mut router, 0, first, 1, AttemptOutcome::ConnectFailed);
+    send_requests(&mut router, 20, second, 1, AttemptOutcome::ConnectFailed);
     expect_that!(router.choose(50, &request(0), &[]), eq(Choice::Send(first)));
 }
 
 #[gtest]
-fn a_full_worker_rests_for_a_moment() {
+fn a_full_worker_backs_off_briefly() {
     let mut router = router(1, 2);
     let full = key_of(&mut router, 0, "w1");
     let attempt = router.sent(0, full, &request(0));
     router.finished(0, attempt, AttemptOutcome::NotExecuted(503));
-    expect_that!(served_by(&mut router, 10), not(contains(eq("w1"))));
-    expect_that!(served_by(&mut router, 50), contains(eq("w1")));
+    expect_that!(chosen_ids(&mut router, 10), not(contains(eq("w1"))));
+    expect_that!(chosen_ids(&mut router, 50), contains(eq("w1")));
     let other = key_of(&mut router, 0, "w0");
-    let now = run_at(&mut router, 100, full, 30, AttemptOutcome::NotExecuted(503));
-    let answer = router.choose(now, &request(0), &[other]);
-    expect_that!(answer, matches_pattern!(Choice::Busy { retry_after_ms: le(150) }));
+    let now = send_requests(&mut router, 100, full, 30, AttemptOutcome::NotExecuted(503));
+    let choice = router.choose(now, &request(0), &[other]);
+    expect_that!(choice, matches_pattern!(Choice::Busy { retry_after_ms: le(150) }));
 }
 
 #[gtest]
-fn another_process_at_the_address_of_a_plain_worker_rests_it() {
+fn a_worker_without_models_backs_off_if_another_process_has_its_address() {
     let mut router = router(1, 2);
     let key = key_of(&mut router, 0, "w1");
-    let attempt = router.sent(0, key, &plain_request());
+    let attempt = router.sent(0, key, &request_without_model());
     router.finished(0, attempt, AttemptOutcome::NotExecuted(421));
-    expect_that!(served_by(&mut router, 200), not(contains(eq("w1"))));
+    expect_that!(chosen_ids(&mut router, 200), not(contains(eq("w1"))));
 }
 
 #[gtest]
-fn a_worker_that_served_well_and_froze_is_ejected() {
+fn a_worker_that_freezes_after_many_successes_is_ejected() {
     let mut router = router(1, 4);
     let key = key_of(&mut router, 0, "w1");
-    let now = run_at(&mut router, 0, key, 50, AttemptOutcome::Success);
-    let now = run_at(&mut router, now, key, 2, AttemptOutcome::TimedOut);
-    expect_that!(served_by(&mut router, now), contains(eq("w1")));
-    let now = run_at(&mut router, now, key, 1, AttemptOutcome::TimedOut);
-    expect_that!(served_by(&mut router, now), not(contains(eq("w1"))));
+    let now = send_requests(&mut router, 0, key, 50, AttemptOutcome::Success);
+    let now = send_requests(&mut router, now, key, 2, AttemptOutcome::TimedOut);
+    expect_that!(chosen_ids(&mut router, now), contains(eq("w1")));
+    let now = send_requests(&mut router, now, key, 1, AttemptOutcome::TimedOut);
+    expect_that!(chosen_ids(&mut router, now), not(contains(eq("w1"))));
 }
 
 #[gtest]
-fn failures_in_a_row_everywhere_eject_nobody() {
+fn consecutive_failures_of_all_workers_eject_no_worker() {
     let mut router = router(1, 6);
     let keys: Vec<WorkerKey> = (0..6).map(|index| key_of(&mut router, 0, &format!("w{index}"))).collect();
     for round in 0..10 {
@@ -296,5 +298,5 @@
             router.finished(round * 50 + 5, attempt, outcome);
         }
     }
-    expect_that!(served_by(&mut router, 520).len(), eq(6));
+    expect_that!(chosen_ids(&mut router, 520).len(), eq(6));
 }
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The router at the size it is designed for: 940 workers, 1,400 models, 370 gatekeepers.
+//! The router at its design size: 940 workers, 1,400 models, 370 data planes.
 
 mod support;
 
@@ -9,7 +9,7 @@
 const WORKERS: usize = 940;
 const MODELS: usize = 1_400;
 
-/// Each worker holds three models; together they hold all.
+/// Each worker has three models loaded; together they have all models.
 fn fleet() -> Vec<WorkerView> {
     let models = |index: usize| {
         let model = |offset: usize| (index * 3 + offset) % MODELS;
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn every_model_finds_a_holder() {
+fn every_model_is_routed_to_a_worker_that_holds_it() {
     let mut router = Router::new(RouterSettings::for_zone("a"), 1);
     router.set_data_plane_count(370);
     router.set_workers(0, fleet());
@@ -41,12 +41,12 @@
 }
 
 #[gtest]
-fn a_service_without_models_uses_all_workers() {
+fn requests_without_a_model_spread_over_all_workers() {
     let mut router = Router::new(RouterSettings::for_zone("a"), 1);
     router.set_data_plane_count(370);
     router.set_workers(0, fleet());
     for _ in 0..5 * WORKERS {
-        let profile = support::plain_request();
+        let profile = support::request_without_model();
         let key = chosen(&mut router, 0, &profile, &[]);
         router.sent(0, key, &profile);
     }
--- a/crates/routing/tests/support/fleet.rs
+++ b/crates/routing/tests/support/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of gatekeepers before engines in virtual time. Each gatekeeper has a router of its own and sees
-//! what the others have outstanding only as it was a moment ago.
+//! Discrete-event simulation of data planes and workers. Each data plane has its own router and learns the loads of its
+//! peers with a delay.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -10,46 +10,49 @@
 
 use super::{request, worker};
 
-/// Prompt tokens an engine reads in a millisecond.
+/// Prompt tokens an engine prefills per millisecond.
 const PREFILL_TOKENS_PER_MS: f64 = 40.0;
-/// Time between tokens of one request.
+/// Time between generated tokens of one request.
 const TOKEN_MS: f64 = 5.1;
-/// How often gatekeepers share their loads, and how old these are when they arrive.
-const SHARE_EVERY_MS: u64 = 200;
-const SHARE_DELAY_MS: u64 = 100;
+/// Interval at which data planes report their loads.
+const REPORT_INTERVAL_MS: u64 = 200;
+/// Age of the loads when they arrive at the peers.
+const REPORT_DELAY_MS: u64 = 100;
+/// Time from the start during which the imbalance is not sampled.
+const WARM_UP_MS: u64 = 3_000;
 
-/// How a gatekeeper picks a worker.
+/// How a data plane picks a worker.
 #[derive(Debug, Clone)]
 pub enum Policy {
-    /// The router, with these settings.
+    /// By the router with these settings.
     Router(RouterSettings),
-    /// The router without knowledge of what others have outstanding.
-    Alone,
-    /// Any worker.
+    /// By the router, without peer loads.
+    WithoutPeerLoads,
+    /// At random.
     Random,
-    /// The least load as last seen.
-    LeastSeen,
+    /// The worker with the least load as last reported.
+    LeastKnownLoad,
 }
 
 /// Size and traffic of the fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet {
-    pub gatekeepers: usize,
+    pub data_planes: usize,
     pub workers: usize,
     pub slots: u32,
     pub per_second: f64,
-    pub length_ms: u64,
+    pub duration_ms: u64,
 }
 
-/// What a run shows.
+/// Measurements of a run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Mean over time of the most loaded worker's requests over the mean of all.
+    /// Ratio of the most loaded worker's requests to the mean of all workers, averaged over time.
     pub max_over_mean: f64,
     /// 95th percentile of the time to the first token.
     pub first_token_p95_ms: u64,
-    /// Share of shared prompt tokens that were read by a worker that had not kept them.
-    pub read_again: f64,
+    /// Share of shared prompt tokens that were prefilled because the worker had not cached them.
+    pub repeated_prefill: f64,
     pub refused: usize,
     pub served: usize,
 }
@@ -58,13 +61,13 @@
 enum Event {
     FirstToken(usize),
     Finished(usize),
-    Share,
-    Shared(usize),
+    ReportLoads,
+    LoadsReceived(usize),
     Arrival,
 }
 
-struct Running {
-    gatekeeper: usize,
+struct RunningRequest {
+    data_plane: usize,
     worker: usize,
     attempt: AttemptKey,
     arrived_at: u64,
@@ -75,40 +78,40 @@
 struct Engine {
     running: u32,
     waiting: VecDeque<usize>,
-    reading_until: f64,
-    kept: HashMap<u64, u64>,
+    prefilling_until: f64,
+    cached: HashMap<u64, u64>,
 }
 
-struct Run<'a> {
+struct Simulation<'a> {
     fleet: Fleet,
     policy: &'a Policy,
     rng: Rng,
     now: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    events_made: u64,
+    events_scheduled: u64,
     routers: Vec<Router>,
     keys: Vec<Vec<WorkerKey>>,
     outstanding: Vec<Vec<u32>>,
-    shared: Vec<Vec<Vec<u32>>>,
+    load_reports: Vec<Vec<Vec<u32>>>,
     engines: Vec<Engine>,
-    requests: Vec<Running>,
+    requests: Vec<RunningRequest>,
     serial: u64,
     first_tokens: Vec<u64>,
     imbalance: f64,
     samples: u32,
     shared_tokens: u64,
-    shared_read: u64,
+    shared_tokens_prefilled: u64,
     refused: usize,
     served: usize,
 }
 
 pub fn run(fleet: Fleet, policy: &Policy, seed: u64) -> Report {
-    let mut run = Run::new(fleet, policy, seed);
-    run.play();
-    run.report()
+    let mut simulation = Simulation::new(fleet, policy, seed);
+    simulation.run_events();
+    simulation.report()
 }
 
-impl<'a> Run<'a> {
+impl<'a> Simulation<'a> {
     fn new(fleet: Fleet, policy: &'a Policy, seed: u64) -> Self {
         let settings = match policy {
             Policy::Router(settings) => settings.clone(),
@@ -119,24 +122,24 @@
             .collect();
         let mut routers = Vec::new();
         let mut keys = Vec::new();
-        for gatekeeper in 0..fleet.gatekeepers {
-            let mut router = Router::new(settings.clone(), seed * 1_000 + gatekeeper as u64);
-            router.set_data_plane_count(fleet.gatekeepers as u32);
+        for data_plane in 0..fleet.data_planes {
+            let mut router = Router::new(settings.clone(), seed * 1_000 + data_plane as u64);
+            router.set_data_plane_count(fleet.data_planes as u32);
             router.set_workers(0, views.clone());
             keys.push(views.iter().map(|view| router.key(&view.id).expect("listed")).collect());
             routers.push(router);
         }
-        let mut run = Run {
+        let mut simulation = Simulation {
             fleet,
             policy,
             rng: Rng::with_seed(seed),
             now: 0,
             events: BinaryHeap::new(),
-            events_made: 0,
+            events_scheduled: 0,
             routers,
             keys,
-            outstanding: vec![vec![0; fleet.workers]; fleet.gatekeepers],
-            shared: Vec::new(),
+            outstanding: vec![vec![0; fleet.workers]; fleet.data_planes],
+            load_reports: Vec::new(),
             engines: (0..fleet.workers).map(|_| Engine::default()).collect(),
             requests: Vec::new(),
             serial: 0,
@@ -144,23 +147,23 @@
             imbalance: 0.0,
             samples: 0,
             shared_tokens: 0,
-            shared_read: 0,
+            shared_tokens_prefilled: 0,
             refused: 0,
             served: 0,
         };
-        run.at(0, Event::Arrival);
-        run.at(0, Event::Share);
-        run
+        simulation.schedule(0, Event::Arrival);
+        simulation.schedule(0, Event::ReportLoads);
+        simulation
     }
 
-    fn at(&mut self, time: u64, event: Event) {
-        self.events_made += 1;
-        self.events.push(Reverse((time, self.events_made, event)));
+    fn schedule(&mut self, time: u64, event: Event) {
+        self.events_scheduled += 1;
+        self.events.push(Reverse((time, self.events_scheduled, event)));
     }
 
-    fn play(&mut self) {
+    fn run_events(&mut self) {
         while let Some(Reverse((time, _, event))) = self.events.pop() {
-            if time > self.fleet.length_ms {
+            if time > self.fleet.duration_ms {
                 break;
             }
             self.now = time;
@@ -168,8 +171,8 @@
                 Event::Arrival => self.arrival(),
                 Event::FirstToken(request) => self.first_token(request),
                 Event::Finished(request) => self.finished(request),
-                Event::Share => self.share(),
-                Event::Shared(version) => self.shared(version),
+                Event::ReportLoads => self.report_loads(),
+                Event::LoadsReceived(report) => self.loads_received(report),
             }
         }
     }
@@ -180,56 +183,56 @@
         Report {
             max_over_mean: self.imbalance / f64::from(self.samples.max(1)),
             first_token_p95_ms: p95,
-            read_again: self.shared_read as f64 / self.shared_tokens.max(1) as f64,
+            repeated_prefill: self.shared_tokens_prefilled as f64 / self.shared_tokens.max(1) as f64,
             refused: self.refused,
             served: self.served,
         }
     }
 
-    /// Requests arrive in clumps of one to five.
+    /// Requests arrive in bursts of one to five.
     fn arrival(&mut self) {
-        let clump = self.rng.usize(1..=5);
-        for _ in 0..clump {
+        let burst = self.rng.usize(1..=5);
+        for _ in 0..burst {
             self.one_arrival();
         }
         let gap = -self.rng.f64().max(1e-9).ln() * 3_000.0 / self.fleet.per_second;
-        self.at(self.now + gap as u64, Event::Arrival);
+        self.schedule(self.now + gap as u64, Event::Arrival);
     }
 
     fn one_arrival(&mut self) {
-        let gatekeeper = self.rng.usize(0..self.fleet.gatekeepers);
+        let data_plane = self.rng.usize(0..self.fleet.data_planes);
         let profile = self.profile();
-        let Some(worker) = self.choose(gatekeeper, &profile) else {
+        let Some(worker) = self.choose(data_plane, &profile) else {
             self.refused += 1;
             return;
         };
-        let key = self.keys[gatekeeper][worker];
-        let attempt = self.routers[gatekeeper].sent(self.now, key, &profile);
-        self.outstanding[gatekeeper][worker] += 1;
-        self.requests.push(Running { gatekeeper, worker, attempt, arrived_at: self.now, profile });
+        let key = self.keys[data_plane][worker];
+        let attempt = self.routers[data_plane].sent(self.now, key, &profile);
+        self.outstanding[data_plane][worker] += 1;
+        self.requests.push(RunningRequest { data_plane, worker, attempt, arrived_at: self.now, profile });
         self.engines[worker].waiting.push_back(self.requests.len() - 1);
         self.start_waiting(worker);
     }
 
-    fn choose(&mut self, gatekeeper: usize, profile: &RequestProfile) -> Option<usize> {
+    fn choose(&mut self, data_plane: usize, profile: &RequestProfile) -> Option<usize> {
         match self.policy {
             Policy::Random => Some(self.rng.usize(0..self.fleet.workers)),
-            Policy::LeastSeen => self.least_seen(gatekeeper),
-            Policy::Router(_) | Policy::Alone => {
-                match self.routers[gatekeeper].choose(self.now, profile, &[]) {
-                    Choice::Send(key) => self.keys[gatekeeper].iter().position(|other| *other == key),
+            Policy::LeastKnownLoad => self.least_known_load(data_plane),
+            Policy::Router(_) | Policy::WithoutPeerLoads => {
+                match self.routers[data_plane].choose(self.now, profile, &[]) {
+                    Choice::Send(key) => self.keys[data_plane].iter().position(|other| *other == key),
                     _ => None,
                 }
             }
         }
     }
 
-    fn least_seen(&self, gatekeeper: usize) -> Option<usize> {
-        let router = &self.routers[gatekeeper];
-        let keys = &self.keys[gatekeeper];
+    fn least_known_load(&self, data_plane: usize) -> Option<usize> {
+        let router = &self.routers[data_plane];
+        let keys = &self.keys[data_plane];
         (0..self.fleet.workers).min_by_key(|worker| {
-            let elsewhere = router.worker(keys[*worker]).map_or(0, |view| view.peer_load);
-            elsewhere + self.outstanding[gatekeeper][*worker]
+            let peer_load = router.worker(keys[*worker]).map_or(0, |view| view.peer_load);
+            peer_load + self.outstanding[data_plane][*worker]
         })
     }
 
@@ -238,104 +241,104 @@
         let mut profile = request(self.serial);
         let first = PromptPart { id: self.rng.u64(0..3), tokens: 119 };
         let second = PromptPart { id: 100 + self.rng.u64(0..83), tokens: 79 };
-        let own = PromptPart { id: 1_000 + self.serial, tokens: self.heavy(430.0, 3_000.0) };
+        let own = PromptPart { id: 1_000 + self.serial, tokens: self.exponential_tokens(430.0, 3_000.0) };
         profile.prompt_tokens = first.tokens + second.tokens + own.tokens;
         profile.prompt_parts = vec![first, second, own];
-        profile.output_tokens = self.heavy(290.0, 950.0);
+        profile.output_tokens = self.exponential_tokens(290.0, 950.0);
         profile
     }
 
-    fn heavy(&mut self, mean: f64, most: f64) -> u32 {
+    fn exponential_tokens(&mut self, mean: f64, max: f64) -> u32 {
         let exponential = -self.rng.f64().max(1e-9).ln();
-        (exponential * mean).clamp(5.0, most) as u32
+        (exponential * mean).clamp(5.0, max) as u32
     }
 
     fn start_waiting(&mut self, worker: usize) {
         while self.engines[worker].running < self.fleet.slots {
             let Some(request) = self.engines[worker].waiting.pop_front() else { return };
-            let read = self.tokens_to_read(worker, request);
+            let prefill = self.tokens_to_prefill(worker, request);
             let engine = &mut self.engines[worker];
             engine.running += 1;
-            engine.reading_until =
-                engine.reading_until.max(self.now as f64) + read as f64 / PREFILL_TOKENS_PER_MS;
-            let first_token = engine.reading_until as u64 + 10;
-            self.at(first_token, Event::FirstToken(request));
+            engine.prefilling_until =
+                engine.prefilling_until.max(self.now as f64) + prefill as f64 / PREFILL_TOKENS_PER_MS;
+            let first_token = engine.prefilling_until as u64 + 10;
+            self.schedule(first_token, Event::FirstToken(request));
         }
     }
 
-    /// Tokens of the prompt the engine has not kept. It keeps 200 prefixes.
-    fn tokens_to_read(&mut self, worker: usize, request: usize) -> u64 {
+    /// Tokens of the prompt that the engine has not cached. Its cache holds 200 prefixes.
+    fn tokens_to_prefill(&mut self, worker: usize, request: usize) -> u64 {
         let profile = &self.requests[request].profile;
         let engine = &mut self.engines[worker];
         let mut chain = 0;
-        let mut kept = true;
-        let mut read = u64::from(profile.prompt_parts.last().expect("has parts").tokens);
+        let mut is_cached = true;
+        let mut prefill = u64::from(profile.prompt_parts.last().expect("has parts").tokens);
         for part in &profile.prompt_parts[..2] {
             chain = chain * 1_000 + part.id + 1;
-            kept &= engine.kept.insert(chain, self.now).is_some();
+            is_cached &= engine.cached.insert(chain, self.now).is_some();
             self.shared_tokens += u64::from(part.tokens);
-            if !kept {
-                self.shared_read += u64::from(part.tokens);
-                read += u64::from(part.tokens);
+            if !is_cached {
+                self.shared_tokens_prefilled += u64::from(part.tokens);
+                prefill += u64::from(part.tokens);
             }
         }
-        if engine.kept.len() > 200 {
-            let oldest = engine.kept.iter().min_by_key(|(_, at)| **at).map(|(chain, _)| *chain);
-            oldest.map(|chain| engine.kept.remove(&chain));
+        if engine.cached.len() > 200 {
+            let oldest = engine.cached.iter().min_by_key(|(_, at)| **at).map(|(chain, _)| *chain);
+            oldest.map(|chain| engine.cached.remove(&chain));
         }
-        read
+        prefill
     }
 
     fn first_token(&mut self, request: usize) {
         let running = &self.requests[request];
-        self.routers[running.gatekeeper].first_byte(self.now, running.attempt);
+        self.routers[running.data_plane].first_byte(self.now, running.attempt);
         self.first_tokens.push(self.now - running.arrived_at);
         let decoding = f64::from(running.profile.output_tokens) * TOKEN_MS;
-        self.at(self.now + decoding as u64, Event::Finished(request));
+        self.schedule(self.now + decoding as u64, Event::Finished(request));
     }
 
     fn finished(&mut self, request: usize) {
         let running = &self.requests[request];
-        let (gatekeeper, worker) = (running.gatekeeper, running.worker);
-        self.routers[gatekeeper].finished(self.now, running.attempt, AttemptOutcome::Success);
-        self.outstanding[gatekeeper][worker] -= 1;
+        let (data_plane, worker) = (running.data_plane, running.worker);
+        self.routers[data_plane].finished(self.now, running.attempt, AttemptOutcome::Success);
+        self.outstanding[data_plane][worker] -= 1;
         self.engines[worker].running -= 1;
         self.served += 1;
         self.start_waiting(worker);
     }
 
-    fn share(&mut self) {
-        self.sample();
-        self.shared.push(self.outstanding.clone());
-        self.at(self.now + SHARE_DELAY_MS, Event::Shared(self.shared.len() - 1));
-        self.at(self.now + SHARE_EVERY_MS, Event::Share);
+    fn report_loads(&mut self) {
+        self.sample_imbalance();
+        self.load_reports.push(self.outstanding.clone());
+        self.schedule(self.now + REPORT_DELAY_MS, Event::LoadsReceived(self.load_reports.len() - 1));
+        self.schedule(self.now + REPORT_INTERVAL_MS, Event::ReportLoads);
     }
 
-    fn shared(&mut self, version: usize) {
-        if matches!(self.policy, Policy::Alone) {
+    fn loads_received(&mut self, report: usize) {
+        if matches!(self.policy, Policy::WithoutPeerLoads) {
             return;
         }
-        for gatekeeper in 0..self.fleet.gatekeepers {
+        for data_plane in 0..self.fleet.data_planes {
             for worker in 0..self.fleet.workers {
-                let all: u32 = self.shared[version].iter().map(|loads| loads[worker]).sum();
-                let elsewhere = all - self.shared[version][gatekeeper][worker];
-                let key = self.keys[gatekeeper][worker];
-                let told_at = self.now - SHARE_DELAY_MS;
-                self.routers[gatekeeper].set_peer_load(told_at, key, elsewhere);
+                let all: u32 = self.load_reports[report].iter().map(|loads| loads[worker]).sum();
+                let peer_load = all - self.load_reports[report][data_plane][worker];
+                let key = self.keys[data_plane][worker];
+                let reported_at = self.now - REPORT_DELAY_MS;
+                self.routers[data_plane].set_peer_load(reported_at, key, peer_load);
             }
         }
     }
 
-    /// Takes the imbalance of the fleet, once it has warmed up.
-    fn sample(&mut self) {
-        if self.now < 3_000 {
+    /// Samples the load imbalance of the fleet after the warm-up.
+    fn sample_imbalance(&mut self) {
+        if self.now < WARM_UP_MS {
             return;
         }
         let load = |worker: usize| self.outstanding.iter().map(|loads| loads[worker]).sum::<u32>();
         let loads: Vec<u32> = (0..self.fleet.workers).map(load).collect();
         let mean = f64::from(loads.iter().sum::<u32>()) / loads.len() as f64;
-        let most = f64::from(loads.iter().copied().max().unwrap_or(0));
-        self.imbalance += most / mean.max(1.0);
+        let max = f64::from(loads.iter().copied().max().unwrap_or(0));
+        self.imbalance += max / mean.max(1.0);
         self.samples += 1;
     }
 }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders shared by the tests.
+//! Builders and helpers shared by the tests.
 #![allow(dead_code)]
 
 use switchhill_routing::*;
@@ -8,7 +8,7 @@
 pub const SERVICE: &str = "chat";
 pub const MODEL: &str = "large";
 
-/// A ready worker of `SERVICE` in zone `a` holding `MODEL`.
+/// A ready worker of `SERVICE` in zone `a` that has loaded `MODEL`.
 pub fn worker(id: &str) -> WorkerView {
     WorkerView {
         id: id.to_owned(),
@@ -28,7 +28,7 @@
     (0..count).map(|index| worker(&format!("w{index}"))).collect()
 }
 
-/// A request for `MODEL` with a prompt of its own.
+/// A request for `MODEL` whose prompt is shared with no other.
 pub fn request(serial: u64) -> RequestProfile {
     RequestProfile {
         service: SERVICE.to_owned(),
@@ -44,7 +44,7 @@
 }
 
 /// A request without a model.
-pub fn plain_request() -> RequestProfile {
+pub fn request_without_model() -> RequestProfile {
     RequestProfile {
         service: SERVICE.to_owned(),
         priority: 2,
@@ -60,7 +60,7 @@
     router
 }
 
-/// The worker chosen, or a panic with the answer and seed.
+/// The worker chosen; panics with the result if none is.
 pub fn chosen(router: &mut Router, now: u64, profile: &RequestProfile, excluded: &[WorkerKey]) -> WorkerKey {
     match router.choose(now, profile, excluded) {
         Choice::Send(key) => key,
@@ -72,11 +72,11 @@
     router.worker(key).expect("listed").id.clone()
 }
 
-/// Key of a worker by id, found by excluding all others.
+/// Key of a worker by id, found by excluding those chosen before it.
 pub fn key_of(router: &mut Router, now: u64, wanted: &str) -> WorkerKey {
     let mut excluded = Vec::new();
     loop {
-        let key = chosen(router, now, &plain_request(), &excluded);
+        let key = chosen(router, now, &request_without_model(), &excluded);
         if id(router, key) == wanted {
             return key;
         }
