--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders shared by the tests.
+//! Builders and helpers shared by the tests.
 #![allow(dead_code)]
 
 use switchhill_routing::*;
@@ -8,7 +8,7 @@
 pub const SERVICE: &str = "chat";
 pub const MODEL: &str = "large";
 
-/// A ready worker of `SERVICE` in zone `a` holding `MODEL`.
+/// A ready worker of `SERVICE` in zone `a` that has loaded `MODEL`.
 pub fn worker(id: &str) -> WorkerView {
     WorkerView {
         id: id.to_owned(),
@@ -19,8 +19,8 @@
         state: Availability::Ready,
         cold_remaining_ms: 0,
         models: vec![ResidentModel { name: MODEL.to_owned(), adapters: vec!["fine".to_owned()] }],
-        load_elsewhere: 0,
-        load_told_at: 0,
+        peer_load: 0,
+        peer_load_at: 0,
     }
 }
 
@@ -28,7 +28,7 @@
     (0..count).map(|index| worker(&format!("w{index}"))).collect()
 }
 
-/// A request for `MODEL` with a prompt of its own.
+/// A request for `MODEL` whose prompt is shared with no other.
 pub fn request(serial: u64) -> RequestProfile {
     RequestProfile {
         service: SERVICE.to_owned(),
@@ -38,24 +38,29 @@
         prompt_tokens: 400,
         output_tokens: 200,
         priority: 1,
-        aim_ms: 400,
+        target_latency_ms: 400,
         session: None,
     }
 }
 
 /// A request without a model.
-pub fn plain_request() -> RequestProfile {
-    RequestProfile { service: SERVICE.to_owned(), priority: 2, aim_ms: 300, ..RequestProfile::default() }
+pub fn request_without_model() -> RequestProfile {
+    RequestProfile {
+        service: SERVICE.to_owned(),
+        priority: 2,
+        target_latency_ms: 300,
+        ..RequestProfile::default()
+    }
 }
 
 pub fn router(seed: u64, count: usize) -> Router {
     let mut router = Router::new(RouterSettings::for_zone("a"), seed);
-    router.set_gatekeepers(1);
+    router.set_data_plane_count(1);
     router.set_workers(0, workers(count));
     router
 }
 
-/// The worker chosen, or a panic with the answer and seed.
+/// The worker chosen; panics with the result if none is.
 pub fn chosen(router: &mut Router, now: u64, profile: &RequestProfile, excluded: &[WorkerKey]) -> WorkerKey {
     match router.choose(now, profile, excluded) {
         Choice::Send(key) => key,
@@ -67,11 +72,11 @@
     router.worker(key).expect("listed").id.clone()
 }
 
-/// Key of a worker by id, found by excluding all others.
+/// Key of a worker by id, found by excluding those chosen before it.
 pub fn key_of(router: &mut Router, now: u64, wanted: &str) -> WorkerKey {
     let mut excluded = Vec::new();
     loop {
-        let key = chosen(router, now, &plain_request(), &excluded);
+        let key = chosen(router, now, &request_without_model(), &excluded);
         if id(router, key) == wanted {
             return key;
         }
--- a/src/data_plane/attempt.rs
+++ b/src/data_plane/attempt.rs
@@ -72,7 +72,7 @@
     }
 
     fn charge_retry(&self) -> bool {
-        self.shared.retry_budget.borrow_mut().try_repeat(self.shared.now(), &self.profile.service)
+        self.shared.retry_budget.borrow_mut().try_retry(self.shared.now(), &self.profile.service)
     }
 
     /// Leases a connection to the worker. Gives up when the worker stops accepting requests, when the process
@@ -147,7 +147,7 @@
         self.history.sent -= 1;
         self.history.unsent += 1;
         if self.history.sent > 0 {
-            self.shared.retry_budget.borrow_mut().give_back(self.shared.now(), &self.profile.service);
+            self.shared.retry_budget.borrow_mut().return_unused(self.shared.now(), &self.profile.service);
         }
         AttemptResult::NotSent
     }
@@ -212,7 +212,7 @@
     async fn handle_refusal(&self, mut response: WorkerAnswer, status: StatusCode) {
         if status == StatusCode::MISDIRECTED_REQUEST {
             let worker = response.attempt.worker();
-            self.shared.router.borrow_mut().missing_model(self.shared.now(), worker, &self.profile);
+            self.shared.router.borrow_mut().model_not_loaded(self.shared.now(), worker, &self.profile);
         }
         let outcome = AttemptOutcome::NotExecuted(status.as_u16());
         let body = response.read_start(policy::MAX_BUFFERED_RESPONSE_BYTES);
--- a/src/data_plane/exchange.rs
+++ b/src/data_plane/exchange.rs
@@ -112,7 +112,7 @@
         prompt_tokens: head.prompt_tokens,
         output_tokens: head.output_tokens,
         priority: u8::try_from(route.priority).unwrap_or(u8::MAX),
-        aim_ms: route.target_latency_ms,
+        target_latency_ms: route.target_latency_ms,
         session: session_id(route, head),
     }
 }
@@ -147,7 +147,7 @@
             && self.history.sent < self.rules.max_workers
             && self.ends_before_shutdown();
         let within_budget =
-            || self.shared.retry_budget.borrow_mut().may_repeat(self.shared.now(), &self.profile.service);
+            || self.shared.retry_budget.borrow_mut().can_retry(self.shared.now(), &self.profile.service);
         allowed && within_budget() && matches!(self.choose_worker(), Choice::Send(_))
     }
 
--- a/src/data_plane/shared.rs
+++ b/src/data_plane/shared.rs
@@ -142,9 +142,9 @@
         let previous = self.view.replace(view.clone());
         self.apply_workers(now, &view, &previous);
         if view.gatekeepers > 0 {
-            self.router.borrow_mut().set_gatekeepers(view.gatekeepers);
+            self.router.borrow_mut().set_data_plane_count(view.gatekeepers);
         }
-        self.retry_budget.borrow_mut().set_gatekeepers(view.gatekeepers);
+        self.retry_budget.borrow_mut().set_data_plane_count(view.gatekeepers);
         self.admission.apply_view(now, &view, self.router.borrow().workers());
     }
 
@@ -160,7 +160,7 @@
         }
         if let Some(loads) = &view.loads {
             if !same_workers || !view.shares_loads_with(previous) {
-                router.set_loads_elsewhere(loads.received_at, &loads.requests);
+                router.set_peer_loads(loads.received_at, &loads.requests);
             }
         }
     }
@@ -175,7 +175,7 @@
         let mut router = self.router.borrow_mut();
         for service in document.services() {
             if let Some(engine) = &service.engine {
-                router.set_cache_tokens(&service.name, engine.kv_cache_tokens);
+                router.set_kv_cache_tokens(&service.name, engine.kv_cache_tokens);
             }
         }
     }
@@ -185,7 +185,7 @@
         if !same_budget(&self.settings.borrow().bounds, &settings.bounds) {
             // A new budget starts without slack, so that retries already made stay within the limit.
             let mut budget = retry_budget(&settings);
-            budget.set_gatekeepers(self.view.borrow().gatekeepers);
+            budget.set_data_plane_count(self.view.borrow().gatekeepers);
             *self.retry_budget.borrow_mut() = budget;
         }
         *self.settings.borrow_mut() = settings;
--- a/src/data_plane/worker_choice.rs
+++ b/src/data_plane/worker_choice.rs
@@ -24,10 +24,10 @@
             let wait_until = match choice {
                 Choice::Send(worker) => return Ok(worker),
                 Choice::Busy { .. } => return Err(self.refuse_after(choice)),
-                Choice::Missing => self.model_wait_end(),
+                Choice::ModelNotLoaded => self.model_wait_end(),
                 Choice::NoWorker => self.worker_wait_end(),
             };
-            if choice == Choice::Missing {
+            if choice == Choice::ModelNotLoaded {
                 waiting = waiting.or_else(|| self.shared.missing_models.register(&self.profile));
                 self.report_missing_model(waiting.as_ref());
             }
@@ -60,7 +60,7 @@
             return self.refuse_for_shutdown();
         }
         let choice = self.choose_worker();
-        if choice == Choice::Missing {
+        if choice == Choice::ModelNotLoaded {
             self.report_missing_model(self.shared.missing_models.register(&self.profile).as_ref());
         }
         self.refuse_after(choice)
@@ -78,7 +78,7 @@
         let retry_after_ms = match choice {
             Choice::Send(_) => policy::RETRY_AFTER_REFUSED_MS,
             Choice::Busy { retry_after_ms } => retry_after_ms,
-            Choice::Missing => self.retry_after_model_load_ms(),
+            Choice::ModelNotLoaded => self.retry_after_model_load_ms(),
             Choice::NoWorker => policy::RETRY_AFTER_NO_WORKER_MS,
         };
         self.not_run_reply(retry_after_ms)
@@ -99,8 +99,8 @@
             _ if self.history.may_have_run => &mut refusals.may_have_run,
             Choice::Send(_) => &mut refusals.attempts,
             Choice::Busy { .. } => &mut refusals.busy,
-            Choice::Missing if self.profile.adapter.is_some() => &mut refusals.missing_adapter,
-            Choice::Missing => &mut refusals.missing_model,
+            Choice::ModelNotLoaded if self.profile.adapter.is_some() => &mut refusals.missing_adapter,
+            Choice::ModelNotLoaded => &mut refusals.missing_model,
             Choice::NoWorker => &mut refusals.no_worker,
         };
         *counter += 1;
