--- a/crates/door/src/busiest.rs
+++ b/crates/door/src/busiest.rs
@@ -2,7 +2,7 @@
 
 /// One subscriber and its count, too high by `error` at the most.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Busy {
+pub struct HeavyHitter {
     /// Who.
     pub subscriber: u64,
     /// How often it came while streams were held or refused.
@@ -14,7 +14,7 @@
 /// The counts of a fixed number of subscribers.
 #[derive(Debug)]
 pub(crate) struct Busiest {
-    counts: Vec<Busy>,
+    counts: Vec<HeavyHitter>,
     most: usize,
 }
 
@@ -31,14 +31,14 @@
                 self.counts.swap(at - 1, at);
             }
         } else if self.counts.len() < self.most {
-            self.counts.push(Busy { subscriber, count: 1, error: 0 });
+            self.counts.push(HeavyHitter { subscriber, count: 1, error: 0 });
         } else if let Some(least) = self.counts.iter_mut().min_by_key(|busy| busy.count) {
-            *least = Busy { subscriber, count: least.count + 1, error: least.count };
+            *least = HeavyHitter { subscriber, count: least.count + 1, error: least.count };
         }
     }
 
     /// Those certain to be busy first.
-    pub(crate) fn list(&self) -> Vec<Busy> {
+    pub(crate) fn entries(&self) -> Vec<HeavyHitter> {
         let mut list = self.counts.clone();
         list.sort_by_key(|busy| std::cmp::Reverse(busy.count - busy.error));
         list
--- a/crates/door/src/client.rs
+++ b/crates/door/src/client.rs
@@ -18,28 +18,28 @@
 /// Who a refusal concerns.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Client {
-    pub(crate) customer: u64,
+    pub(crate) subscriber: u64,
     pub(crate) class: usize,
     pub(crate) whole_seconds: bool,
     /// How long it waits for an answer.
-    pub(crate) wait: Millis,
+    pub(crate) client_timeout: Millis,
 }
 
 impl From<&Arrival<'_>> for Client {
     fn from(arrival: &Arrival<'_>) -> Self {
-        let Arrival { customer, class, whole_seconds, wait, .. } = *arrival;
-        Self { customer, class, whole_seconds, wait }
+        let Arrival { subscriber, class, whole_seconds, client_timeout, .. } = *arrival;
+        Self { subscriber, class, whole_seconds, client_timeout }
     }
 }
 
 impl From<&Held> for Client {
     fn from(held: &Held) -> Self {
         Self {
-            customer: held.subscriber,
+            subscriber: held.subscriber,
             class: usize::from(held.class),
             whole_seconds: held.whole_seconds,
             // It was held for a quarter of its time at the most.
-            wait: 4.0 * (held.latest - held.arrived),
+            client_timeout: 4.0 * (held.latest - held.arrived),
         }
     }
 }
--- a/crates/door/src/door.rs
+++ b/crates/door/src/door.rs
@@ -7,15 +7,15 @@
 
 use crate::active::Active;
 use crate::book::{Book, Told};
-use crate::busiest::{Busiest, Busy};
-use crate::figures::Figures;
+use crate::busiest::{Busiest, HeavyHitter};
+use crate::figures::Counters;
 use crate::limit::Limit;
 use crate::message::Action;
 use crate::queue::{self, Queue};
 use crate::rate::{Rate, Window};
 use crate::settings::Settings;
 use crate::tags::Tags;
-use crate::ticket::{Keys, Used};
+use crate::ticket::{TicketKeys, Used};
 use crate::Millis;
 use hdrhistogram::Histogram;
 
@@ -28,7 +28,7 @@
 
 /// The door.
 #[derive(Debug)]
-pub struct Door {
+pub struct AdmissionQueue {
     set: Settings,
     /// Virtual cost of one unit by plan: 1 for the lightest.
     costs: Vec<f64>,
@@ -40,10 +40,10 @@
     book: Book,
     told: Told,
     used: Used,
-    keys: Keys,
+    keys: TicketKeys,
     busiest: Busiest,
     sojourn: Vec<Histogram<u32>>,
-    figures: Figures,
+    figures: Counters,
     /// Streams handed on and not ended.
     open: usize,
     virtual_time: f64,
@@ -60,7 +60,7 @@
     pushed: Vec<Action>,
 }
 
-impl Door {
+impl AdmissionQueue {
     /// Builds a door; all its memory is taken here.
     ///
     /// # Panics
@@ -68,29 +68,32 @@
     #[must_use]
     pub fn new(set: Settings) -> Self {
         assert!(set.memory >= 64 << 10, "a door takes 64 KiB at the least");
-        assert!(!set.weights.is_empty() && set.weights.iter().all(|w| w.is_finite() && *w > 0.0), "weights");
-        assert!((1.0..=queue::LONGEST).contains(&set.longest_wait), "longest_wait");
-        assert!(set.book_share > 0.0 && set.book_share <= 1.0, "book_share");
-        let lightest = set.weights.iter().copied().fold(f64::INFINITY, f64::min);
+        assert!(
+            !set.plan_weights.is_empty() && set.plan_weights.iter().all(|w| w.is_finite() && *w > 0.0),
+            "weights"
+        );
+        assert!((1.0..=queue::LONGEST).contains(&set.max_queue_time), "max_queue_time");
+        assert!(set.appointment_share > 0.0 && set.appointment_share <= 1.0, "appointment_share");
+        let lightest = set.plan_weights.iter().copied().fold(f64::INFINITY, f64::min);
         let most_held = (set.memory * 5 / 8 / BYTES_EACH).clamp(16, 1 << 16);
         let appointments = set.memory / 8 / 24;
         let uses = set.memory / 8 / 16;
-        let life = set.longest_hold_off + 2.0 * set.grace;
+        let life = set.max_retry_after + 2.0 * set.appointment_grace;
         let histogram = || Histogram::new_with_bounds(1, LONGEST_TOLD, 2).expect("sound bounds");
         let (start, least, most) = set.limit;
         Self {
-            costs: set.weights.iter().map(|weight| lightest / weight).collect(),
-            tags: Tags::new(set.key, most_held),
-            booked: Tags::new(set.key, 2 * most_held),
+            costs: set.plan_weights.iter().map(|weight| lightest / weight).collect(),
+            tags: Tags::new(set.hash_key, most_held),
+            booked: Tags::new(set.hash_key, 2 * most_held),
             queue: Queue::new(most_held),
-            limit: Limit::new(set.classes, start, least, most),
-            book: Book::new(set.longest_hold_off),
-            told: Told::new(appointments, set.grace),
+            limit: Limit::new(set.class_count, start, least, most),
+            book: Book::new(set.max_retry_after),
+            told: Told::new(appointments, set.appointment_grace),
             used: Used::new(uses, life),
-            keys: Keys::default(),
+            keys: TicketKeys::default(),
             busiest: Busiest::new(BUSIEST),
-            sojourn: set.weights.iter().map(|_| histogram()).collect(),
-            figures: Figures::default(),
+            sojourn: set.plan_weights.iter().map(|_| histogram()).collect(),
+            figures: Counters::default(),
             open: 0,
             virtual_time: 0.0,
             active: Active::new(4 * most_held),
@@ -107,25 +110,25 @@
     }
 
     /// Takes over keys for tickets; without any, none are given or honoured.
-    pub fn use_keys(&mut self, keys: Keys) {
+    pub fn set_ticket_keys(&mut self, keys: TicketKeys) {
         self.keys = keys;
     }
 
     /// What has been counted.
     #[must_use]
-    pub fn figures(&self) -> &Figures {
+    pub fn counters(&self) -> &Counters {
         &self.figures
     }
 
     /// Streams that are held now.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
     /// Streams handed on and not ended, and how many may be.
     #[must_use]
-    pub fn open(&self) -> (usize, f64) {
+    pub fn concurrency(&self) -> (usize, f64) {
         (self.open, self.limit.value())
     }
 
@@ -137,13 +140,13 @@
 
     /// The busiest subscribers while streams were held, the busiest first.
     #[must_use]
-    pub fn busiest(&self) -> Vec<Busy> {
-        self.busiest.list()
+    pub fn heavy_hitters(&self) -> Vec<HeavyHitter> {
+        self.busiest.entries()
     }
 
     /// Bytes taken at the start.
     #[must_use]
-    pub fn memory(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         let histograms: usize = self.sojourn.iter().map(|h| h.distinct_values() * 4).sum();
         self.tags.bytes()
             + self.booked.bytes()
--- a/crates/door/src/door/arrivals.rs
+++ b/crates/door/src/door/arrivals.rs
@@ -1,7 +1,7 @@
 //! Streams that arrive: passed at once, held, or refused.
 
 use super::pace::TURN;
-use super::Door;
+use super::AdmissionQueue;
 use crate::client::{Cause, Client};
 use crate::message::{Action, Admission, Arrival};
 use crate::queue::{Held, HORIZON};
@@ -12,9 +12,9 @@
 /// The wait foreseen may be wrong by this factor: who is held and then refused has lost that time.
 const SLACK: f64 = 1.2;
 
-impl Door {
+impl AdmissionQueue {
     /// A stream has come to the door.
-    pub fn arrived(&mut self, now: Millis, arrival: &Arrival<'_>) -> Admission {
+    pub fn on_arrival(&mut self, now: Millis, arrival: &Arrival<'_>) -> Admission {
         let client = Client::from(arrival);
         let kept = self.keeps(now, arrival, client);
         let free = self.limit.has_room(self.open) && self.queue.len() == 0;
@@ -23,8 +23,8 @@
             return self.pass_at_once(arrival.plan);
         }
         self.roll(now);
-        self.busiest.note(arrival.customer);
-        let flow = self.flow(arrival.customer);
+        self.busiest.note(arrival.subscriber);
+        let flow = self.flow(arrival.subscriber);
         let start = self.tags.finish(flow).max(self.virtual_time);
         let unit = self.cost(arrival.plan);
         self.active.note(now, flow, 1.0 / unit);
@@ -36,13 +36,14 @@
             return self.pass_at_once(arrival.plan);
         }
         self.pressed_until = now + PRESSED_FOR;
-        let may_wait = (arrival.wait.min(arrival.aim) / 4.0).min(self.set.longest_wait);
+        let may_wait =
+            (arrival.client_timeout.min(arrival.latency_target) / 4.0).min(self.set.max_queue_time);
         let held = Held {
             stream: arrival.stream,
             arrived: now,
             latest: now + may_wait,
             start,
-            subscriber: arrival.customer,
+            subscriber: arrival.subscriber,
             class: arrival.class as u16,
             plan: arrival.plan as u16,
             // Who comes late is owed its place from then on.
@@ -51,23 +52,23 @@
             bytes: arrival.bytes.min(u32::MAX as usize) as u32,
         };
         let rate = self.passes(now);
-        let crowded = self.queue.bytes() + arrival.bytes > self.set.most_bytes;
+        let crowded = self.queue.bytes() + arrival.bytes > self.set.max_queued_bytes;
         if kept.is_some() {
             let reached = self.queue.due() as f64 / rate <= may_wait;
-            if reached && !arrival.scarce && !crowded && self.room_for(now, f64::NEG_INFINITY) {
+            if reached && !arrival.resources_low && !crowded && self.room_for(now, f64::NEG_INFINITY) {
                 self.figures.held += 1;
                 // Who comes by appointment goes first and is charged like everybody.
                 self.tags.raise(flow, start + cost);
                 self.queue.push(held, true);
-                return Admission::Held;
+                return Admission::Queued;
             }
             self.figures.missed += 1;
         }
         let held = Held { due: 0.0, ..held };
         let ahead = (start - self.virtual_time) / cost;
-        let cause = if arrival.scarce || crowded {
+        let cause = if arrival.resources_low || crowded {
             Cause::Scarce
-        } else if ahead >= self.set.per_subscriber || start - self.virtual_time + cost > HORIZON {
+        } else if ahead >= self.set.max_queued_per_subscriber || start - self.virtual_time + cost > HORIZON {
             Cause::Subscriber
         } else if SLACK * self.queue.ahead(start) as f64 / self.left_for_newcomers(now, may_wait) > may_wait {
             Cause::Wait
@@ -77,7 +78,7 @@
             self.tags.raise(flow, start + cost);
             self.queue.push(held, false);
             self.figures.held += 1;
-            return Admission::Held;
+            return Admission::Queued;
         };
         Admission::Refused(self.refuse(now, client, start, cost, cause))
     }
@@ -85,7 +86,7 @@
     fn pass_at_once(&mut self, plan: usize) -> Admission {
         self.figures.passed += 1;
         self.hand_on(plan, 0.0);
-        Admission::Pass
+        Admission::Admitted
     }
 
     /// Makes room for one with this start tag by pushing out one of a longer queue; false where there is none.
--- a/crates/door/src/door/handing_on.rs
+++ b/crates/door/src/door/handing_on.rs
@@ -2,9 +2,9 @@
 
 use super::arrivals::PRESSED_FOR;
 use super::pace::TURN;
-use super::Door;
+use super::AdmissionQueue;
 use crate::client::Cause;
-use crate::limit::Ended;
+use crate::limit::Outcome;
 use crate::message::Action;
 use crate::queue::Held;
 use crate::Millis;
@@ -12,7 +12,7 @@
 /// Weight of one stream in the time in flight.
 const FLIGHT_GAIN: f64 = 0.02;
 
-impl Door {
+impl AdmissionQueue {
     /// One more is in flight, after so long at the door.
     pub(super) fn hand_on(&mut self, plan: usize, waited: Millis) {
         self.open += 1;
@@ -24,9 +24,9 @@
     }
 
     /// A stream that was handed on has ended, `took` milliseconds after that.
-    pub fn ended(&mut self, now: Millis, class: usize, took: Millis, how: Ended) {
+    pub fn on_completion(&mut self, now: Millis, class: usize, took: Millis, how: Outcome) {
         self.open = self.open.saturating_sub(1);
-        if how == Ended::Served {
+        if how == Outcome::Success {
             self.flight.learn(now, took, FLIGHT_GAIN);
             // A value of 0 counts as none.
             self.flight.value = self.flight.value.max(0.1);
@@ -35,16 +35,16 @@
     }
 
     /// The client of a stream has gone away. True if it was held; else the caller tells its end.
-    pub fn left(&mut self, stream: u64) -> bool {
+    pub fn cancel(&mut self, stream: u64) -> bool {
         let Some(held) = self.queue.remove(stream) else { return false };
         self.figures.left += 1;
         self.figures.missed += u64::from(held.due > 0.0);
         true
     }
 
-    /// When [`Door::poll`] wants to be called at the latest.
+    /// When [`AdmissionQueue::poll`] wants to be called at the latest.
     #[must_use]
-    pub fn next_due(&self) -> Option<Millis> {
+    pub fn next_poll_at(&self) -> Option<Millis> {
         if !self.pushed.is_empty() || (self.queue.len() > 0 && self.limit.has_room(self.open)) {
             return Some(0.0);
         }
@@ -72,7 +72,7 @@
             }
             let waited = now - held.arrived;
             self.hand_on(held.plan.into(), waited);
-            actions.push(Action::Pass(held.stream, waited));
+            actions.push(Action::Dispatch(held.stream, waited));
         }
         if self.queue.len() > 0 {
             self.pressed_until = now + PRESSED_FOR;
--- a/crates/door/src/door/pace.rs
+++ b/crates/door/src/door/pace.rs
@@ -1,6 +1,6 @@
 //! How fast streams can be handed on, and virtual time.
 
-use super::Door;
+use super::AdmissionQueue;
 use crate::rate::Window;
 use crate::tags::Flow;
 use crate::Millis;
@@ -16,7 +16,7 @@
 /// Of so many handed on, one is a newcomer, if any waits: appointments of other gateways cannot shut them out.
 pub(super) const TURN: u32 = 8;
 
-impl Door {
+impl AdmissionQueue {
     /// One unit is served, of a stream with this start tag unless it came by appointment. Virtual time follows the
     /// start tag in service (SFQ), so that what nobody else wants is not held against who gets it. By that
     /// alone it stands still while newcomers keep coming, and forgets what those owe who are not held at the
@@ -66,7 +66,7 @@
     }
 
     /// A subscriber's flow.
-    pub(super) fn flow(&self, customer: u64) -> Flow {
-        self.tags.flow(customer, 0)
+    pub(super) fn flow(&self, subscriber: u64) -> Flow {
+        self.tags.flow(subscriber, 0)
     }
 }
--- a/crates/door/src/figures.rs
+++ b/crates/door/src/figures.rs
@@ -4,12 +4,12 @@
     ($($(#[doc = $doc:literal])* $name:ident),* $(,)?) => {
         /// What the door has counted since its start.
         #[derive(Debug, Clone, Default, PartialEq, Eq)]
-        pub struct Figures { $($(#[doc = $doc])* pub $name: u64),* }
+        pub struct Counters { $($(#[doc = $doc])* pub $name: u64),* }
 
-        impl Figures {
+        impl Counters {
             /// Names and values.
             #[must_use]
-            pub fn list(&self) -> Vec<(&'static str, u64)> {
+            pub fn entries(&self) -> Vec<(&'static str, u64)> {
                 vec![$((stringify!($name), self.$name)),*]
             }
         }
@@ -59,7 +59,7 @@
     tickets_forged,
     /// Tickets before their time or after it.
     tickets_untimely,
-    /// Tickets of another customer or class.
+    /// Tickets of another subscriber or class.
     tickets_foreign,
     /// Tickets used before.
     tickets_replayed,
--- a/crates/door/src/lib.rs
+++ b/crates/door/src/lib.rs
@@ -5,15 +5,15 @@
 //! time, and what cannot be reached in that time is refused on arrival with a time at which there will be room.
 //!
 //! Everything here is a state machine without I/O: the caller tells what happened and when, and carries out what
-//! comes back. Times are milliseconds; [`Door`] wants Unix time, as tickets pass between gateways.
+//! comes back. Times are milliseconds; [`AdmissionQueue`] wants Unix time, as tickets pass between gateways.
 //!
 //! ```
-//! use switchhill_door::{Admission, Arrival, Door, Ended, Settings};
+//! use switchhill_door::{Admission, Arrival, AdmissionQueue, Outcome, Settings};
 //!
-//! let mut door = Door::new(Settings { classes: 1, weights: vec![1.0], ..Settings::default() });
-//! let arrival = Arrival { stream: 1, customer: 7, wait: 1000.0, aim: 500.0, ..Arrival::default() };
-//! assert_eq!(door.arrived(1.0, &arrival), Admission::Pass);
-//! door.ended(9.0, 0, 8.0, Ended::Served);
+//! let mut door = AdmissionQueue::new(Settings { class_count: 1, plan_weights: vec![1.0], ..Settings::default() });
+//! let arrival = Arrival { stream: 1, subscriber: 7, client_timeout: 1000.0, latency_target: 500.0, ..Arrival::default() };
+//! assert_eq!(door.on_arrival(1.0, &arrival), Admission::Admitted);
+//! door.on_completion(9.0, 0, 8.0, Outcome::Success);
 //! ```
 mod active;
 mod bits;
@@ -30,13 +30,13 @@
 mod tags;
 mod ticket;
 
-pub use busiest::Busy;
-pub use door::Door;
-pub use figures::Figures;
-pub use limit::Ended;
+pub use busiest::HeavyHitter;
+pub use door::AdmissionQueue;
+pub use figures::Counters;
+pub use limit::Outcome;
 pub use message::{Action, Admission, Arrival, Refusal};
 pub use settings::Settings;
-pub use ticket::{Keys, TICKET_LEN};
+pub use ticket::{TicketKeys, TICKET_LEN};
 
 /// A point in time or a span, in milliseconds.
 pub type Millis = f64;
--- a/crates/door/src/limit.rs
+++ b/crates/door/src/limit.rs
@@ -27,13 +27,13 @@
 
 /// How a stream that was handed on has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum Outcome {
     /// Served by an upstream host.
-    Served,
+    Success,
     /// Turned away for want of room, or out of time.
-    Pressed,
+    Dropped,
     /// Anything else: it tells nothing of the fleet's load.
-    Otherwise,
+    Ignored,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -104,17 +104,17 @@
         self.used = self.used.max(open as f64);
     }
 
-    pub(crate) fn ended(&mut self, now: Millis, class: usize, took: Millis, how: Ended) {
+    pub(crate) fn ended(&mut self, now: Millis, class: usize, took: Millis, how: Outcome) {
         self.ends += 1;
         match how {
-            Ended::Served => {
+            Outcome::Success => {
                 if let Some(class) = self.classes.get_mut(class) {
                     class.sum += took;
                     class.ends += 1;
                 }
             }
-            Ended::Pressed => self.pressed += 1,
-            Ended::Otherwise => {}
+            Outcome::Dropped => self.pressed += 1,
+            Outcome::Ignored => {}
         }
         let age = now - self.since;
         if (age >= WINDOW && self.ends >= WINDOW_ENDS) || age >= WINDOW_LONGEST {
--- a/crates/door/src/message.rs
+++ b/crates/door/src/message.rs
@@ -8,7 +8,7 @@
     /// Names it; never used twice.
     pub stream: u64,
     /// The subscriber.
-    pub customer: u64,
+    pub subscriber: u64,
     /// Position of its class.
     pub class: usize,
     /// Position of the subscriber's plan.
@@ -16,13 +16,13 @@
     /// What it takes from the quota; 0 counts as 1.
     pub units: f64,
     /// Its client waits this long.
-    pub wait: Millis,
+    pub client_timeout: Millis,
     /// An answer in this time earns the full worth.
-    pub aim: Millis,
+    pub latency_target: Millis,
     /// What it takes in the caller's memory.
     pub bytes: usize,
     /// Descriptors or memory are short: it may pass but not be held.
-    pub scarce: bool,
+    pub resources_low: bool,
     /// Its client reads whole seconds only.
     pub whole_seconds: bool,
     /// The ticket it brings.
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refusal {
     /// Come back after so long.
-    pub hold_off: Millis,
+    pub retry_after: Millis,
     /// And bring this.
     pub ticket: Option<String>,
 }
@@ -42,9 +42,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Admission {
     /// Hand it on now.
-    Pass,
-    /// It waits; [`Door::poll`] will tell.
-    Held,
+    Admitted,
+    /// It waits; [`AdmissionQueue::poll`] will tell.
+    Queued,
     /// Refuse it.
     Refused(Refusal),
 }
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Hand it on; it has waited so long.
-    Pass(u64, Millis),
+    Dispatch(u64, Millis),
     /// Refuse it.
     Refuse(u64, Refusal),
 }
--- a/crates/door/src/ticket.rs
+++ b/crates/door/src/ticket.rs
@@ -1,7 +1,7 @@
 //! Tickets: appointments that another gateway honours, signed with a key that all of them hold.
 //!
 //! HMAC (RFC 2104) with SHA-256, cut to 128 bits as RFC 2104 section 5 permits, in base64url (RFC 4648
-//! section 5). A ticket names customer, class and time; it is good for one use at each gateway.
+//! section 5). A ticket names subscriber, class and time; it is good for one use at each gateway.
 
 use crate::Millis;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -12,7 +12,7 @@
 
 /// The form of tickets; others count as none.
 const VERSION: u8 = 1;
-/// Version, class, due, customer and number, and the signature behind them.
+/// Version, class, due, subscriber and number, and the signature behind them.
 const SIGNED: usize = 1 + 2 + 8 + 8 + 8;
 const MAC: usize = 16;
 /// Characters of a ticket.
@@ -28,7 +28,7 @@
     pub(crate) class: u16,
     /// Unix time in whole milliseconds.
     pub(crate) due: u64,
-    pub(crate) customer: u64,
+    pub(crate) subscriber: u64,
     pub(crate) number: u64,
 }
 
@@ -41,7 +41,7 @@
     Forged,
     /// Its time is over or has not come.
     Untimely,
-    /// Given to another customer or for another class.
+    /// Given to another subscriber or for another class.
     Foreign,
     /// Used before.
     Replayed,
@@ -51,22 +51,22 @@
 
 /// Keys of gateways that honour each other's appointments. The first signs; all verify.
 #[derive(Clone, Default, PartialEq, Eq)]
-pub struct Keys(Vec<Vec<u8>>);
+pub struct TicketKeys(Vec<Vec<u8>>);
 
-impl std::fmt::Debug for Keys {
+impl std::fmt::Debug for TicketKeys {
     /// A key in a log is a key given away.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Keys({} held)", self.0.len())
+        write!(f, "TicketKeys({} held)", self.0.len())
     }
 }
 
-impl Keys {
+impl TicketKeys {
     /// Reads a key file: a key of 32 to 128 bytes in hex digits on each line, the one that signs first, then at
     /// most three that are still good. Empty lines and lines that begin with `#` do not count.
     ///
     /// # Errors
     /// The line at fault, from 1 (0 for the whole), and what is wrong; never a part of a key.
-    pub fn read(text: &str) -> Result<Self, (usize, &'static str)> {
+    pub fn parse(text: &str) -> Result<Self, (usize, &'static str)> {
         let mut keys = Vec::new();
         for (n, line) in text.lines().enumerate() {
             let line = line.trim();
@@ -93,7 +93,7 @@
 
     /// Whether there is a key to sign with.
     #[must_use]
-    pub fn any(&self) -> bool {
+    pub fn can_sign(&self) -> bool {
         !self.0.is_empty()
     }
 
@@ -102,7 +102,7 @@
         bytes[0] = VERSION;
         bytes[1..3].copy_from_slice(&ticket.class.to_be_bytes());
         bytes[3..11].copy_from_slice(&ticket.due.to_be_bytes());
-        bytes[11..19].copy_from_slice(&ticket.customer.to_be_bytes());
+        bytes[11..19].copy_from_slice(&ticket.subscriber.to_be_bytes());
         bytes[19..27].copy_from_slice(&ticket.number.to_be_bytes());
         let mut mac = Hmac::<Sha256>::new_from_slice(self.0.first()?).ok()?;
         mac.update(&bytes[..SIGNED]);
@@ -131,7 +131,7 @@
         }
         let number = |at: usize| signed[at..at + 8].iter().fold(0, |sum, b| sum << 8 | u64::from(*b));
         let class = u16::from_be_bytes([signed[1], signed[2]]);
-        Ok(Ticket { class, due: number(3), customer: number(11), number: number(19) })
+        Ok(Ticket { class, due: number(3), subscriber: number(11), number: number(19) })
     }
 }
 
--- a/crates/door/tests/door.rs
+++ b/crates/door/tests/door.rs
@@ -6,13 +6,13 @@
 use fleet::Fleet;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
-use switchhill_door::{Action, Admission, Arrival, Door, Ended, Keys, Settings};
+use switchhill_door::{Action, Admission, AdmissionQueue, Arrival, Outcome, Settings, TicketKeys};
 
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 const OLD: &str = "ffeeddccbbaa99887766554433221100ffeeddccbbaa99887766554433221100";
 
 fn settings() -> Settings {
-    Settings { weights: vec![0.9, 2.0, 6.3], key: [7; 16], ..Settings::default() }
+    Settings { plan_weights: vec![0.9, 2.0, 6.3], hash_key: [7; 16], ..Settings::default() }
 }
 
 /// A door that hands nothing on until told that something has ended.
@@ -20,15 +20,23 @@
     Settings { limit: (1.0, 1.0, 1.0), ..settings() }
 }
 
-fn arrival(stream: u64, customer: u64, plan: usize) -> Arrival<'static> {
-    Arrival { stream, customer, plan, units: 1.0, wait: 4000.0, aim: 4000.0, ..Arrival::default() }
+fn arrival(stream: u64, subscriber: u64, plan: usize) -> Arrival<'static> {
+    Arrival {
+        stream,
+        subscriber,
+        plan,
+        units: 1.0,
+        client_timeout: 4000.0,
+        latency_target: 4000.0,
+        ..Arrival::default()
+    }
 }
 
-fn handed(door: &mut Door, now: f64) -> Vec<u64> {
+fn handed(door: &mut AdmissionQueue, now: f64) -> Vec<u64> {
     let mut actions = Vec::new();
     door.poll(now, &mut actions);
     let pass = |action: &Action| match action {
-        Action::Pass(stream, _) => Some(*stream),
+        Action::Dispatch(stream, _) => Some(*stream),
         Action::Refuse(..) => None,
     };
     actions.iter().filter_map(pass).collect()
@@ -36,24 +44,24 @@
 
 #[test]
 fn without_pressure_everything_passes_and_nothing_is_charged() {
-    let mut door = Door::new(settings());
+    let mut door = AdmissionQueue::new(settings());
     for stream in 0..10_000 {
-        assert_eq!(door.arrived(stream as f64, &arrival(stream, 1, 0)), Admission::Pass);
-        door.ended(stream as f64, 0, 1.0, Ended::Served);
+        assert_eq!(door.on_arrival(stream as f64, &arrival(stream, 1, 0)), Admission::Admitted);
+        door.on_completion(stream as f64, 0, 1.0, Outcome::Success);
     }
-    assert_eq!((door.held(), door.open().0), (0, 0));
+    assert_eq!((door.queued(), door.concurrency().0), (0, 0));
 }
 
 #[test]
 fn one_that_asks_often_waits_behind_those_that_ask_once() {
     // Guarded against: a queue in order of arrival, where nine requests of one subscriber delay all others.
-    let mut door = Door::new(full());
-    assert_eq!(door.arrived(1.0, &arrival(0, 9, 0)), Admission::Pass);
-    (1..=6).for_each(|n| assert_eq!(door.arrived(2.0, &arrival(n, 1, 0)), Admission::Held));
-    (11..=13).for_each(|n| assert_eq!(door.arrived(3.0, &arrival(n, n, 0)), Admission::Held));
+    let mut door = AdmissionQueue::new(full());
+    assert_eq!(door.on_arrival(1.0, &arrival(0, 9, 0)), Admission::Admitted);
+    (1..=6).for_each(|n| assert_eq!(door.on_arrival(2.0, &arrival(n, 1, 0)), Admission::Queued));
+    (11..=13).for_each(|n| assert_eq!(door.on_arrival(3.0, &arrival(n, n, 0)), Admission::Queued));
     let mut order = Vec::new();
     for n in 0..9 {
-        door.ended(4.0 + f64::from(n), 0, 1.0, Ended::Served);
+        door.on_completion(4.0 + f64::from(n), 0, 1.0, Outcome::Success);
         order.extend(handed(&mut door, 4.0 + f64::from(n)));
     }
     assert_eq!(order, [1, 11, 12, 13, 2, 3, 4, 5, 6]);
@@ -61,53 +69,62 @@
 
 #[test]
 fn a_full_queue_drops_from_the_longest_and_never_from_the_shortest() {
-    let mut door = Door::new(Settings { memory: 64 << 10, per_subscriber: 1e6, ..full() });
-    assert_eq!(door.arrived(1.0, &arrival(0, 0, 0)), Admission::Pass);
+    let mut door =
+        AdmissionQueue::new(Settings { memory: 64 << 10, max_queued_per_subscriber: 1e6, ..full() });
+    assert_eq!(door.on_arrival(1.0, &arrival(0, 0, 0)), Admission::Admitted);
     let mut held = 0;
     // A measured rate lets the queue fill: without one the wait would be the bound.
-    while let Admission::Held =
-        door.arrived(2.0, &Arrival { wait: 1e9, aim: 1e9, ..arrival(100 + held, 1, 0) })
+    while let Admission::Queued = door
+        .on_arrival(2.0, &Arrival { client_timeout: 1e9, latency_target: 1e9, ..arrival(100 + held, 1, 0) })
     {
         held += 1;
         if held % 10 == 0 {
-            door.ended(2.0, 0, 0.1, Ended::Served);
+            door.on_completion(2.0, 0, 0.1, Outcome::Success);
         }
     }
-    let before = door.held();
-    let newcomer = door.arrived(3.0, &arrival(1, 2, 0));
-    if newcomer == Admission::Held {
+    let before = door.queued();
+    let newcomer = door.on_arrival(3.0, &arrival(1, 2, 0));
+    if newcomer == Admission::Queued {
         let mut actions = Vec::new();
         door.poll(3.0, &mut actions);
         let dropped: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Refuse(..))).collect();
-        assert!(door.held() <= before);
+        assert!(door.queued() <= before);
         assert!(
             dropped.iter().all(|a| matches!(a, Action::Refuse(stream, _) if *stream >= 100)),
             "{dropped:?}"
         );
     }
-    assert!(newcomer != Admission::Pass);
+    assert!(newcomer != Admission::Admitted);
 }
 
 /// Serves two subscribers that always want more, in turn; gives what each got.
 fn share(weights: [f64; 2], rounds: usize) -> [f64; 2] {
-    let mut door = Door::new(Settings { weights: weights.to_vec(), per_subscriber: 6.0, ..full() });
+    let mut door = AdmissionQueue::new(Settings {
+        plan_weights: weights.to_vec(),
+        max_queued_per_subscriber: 6.0,
+        ..full()
+    });
     let (mut stream, mut got, mut owner) = (1, [0.0; 2], BTreeMap::new());
-    assert_eq!(door.arrived(0.0, &arrival(0, 99, 0)), Admission::Pass);
+    assert_eq!(door.on_arrival(0.0, &arrival(0, 99, 0)), Admission::Admitted);
     for round in 0..rounds {
         let now = 1.0 + round as f64;
         for who in 0..2 {
             // As many as it may have waiting.
-            while door.arrived(
+            while door.on_arrival(
                 now,
-                &Arrival { wait: 20_000.0, aim: 20_000.0, ..arrival(stream, who, who as usize) },
-            ) == Admission::Held
+                &Arrival {
+                    client_timeout: 20_000.0,
+                    latency_target: 20_000.0,
+                    ..arrival(stream, who, who as usize)
+                },
+            ) == Admission::Queued
             {
                 owner.insert(stream, who as usize);
                 stream += 1;
             }
             stream += 1;
         }
-        door.ended(now, 0, 1.0, Ended::Served);
+        door.on_completion(now, 0, 1.0, Outcome::Success);
         for stream in handed(&mut door, now) {
             got[owner[&stream]] += 1.0;
         }
@@ -124,13 +141,13 @@
     fn shares_differ_from_the_weights_by_no_more_than_the_bound(light in 0.5f64..2.0, times in 1.0f64..8.0) {
         // Held back or refused requests are charged as well, so the test asks no more than may wait.
         let weights = [light, light * times];
-        let mut door = Door::new(Settings { weights: weights.to_vec(), per_subscriber: 1e6, ..full() });
+        let mut door = AdmissionQueue::new(Settings { plan_weights: weights.to_vec(), max_queued_per_subscriber: 1e6, ..full() });
         let mut owner = BTreeMap::new();
-        prop_assert_eq!(door.arrived(0.0, &arrival(0, 99, 0)), Admission::Pass);
+        prop_assert_eq!(door.on_arrival(0.0, &arrival(0, 99, 0)), Admission::Admitted);
         let mut stream = 1;
-        let mut ask = |door: &mut Door, who: usize, owner: &mut BTreeMap<u64, usize>| {
-            let held = door.arrived(1.0, &Arrival { wait: 32_000.0, aim: 32_000.0, ..arrival(stream, who as u64, who) });
-            if held == Admission::Held {
+        let mut ask = |door: &mut AdmissionQueue, who: usize, owner: &mut BTreeMap<u64, usize>| {
+            let held = door.on_arrival(1.0, &Arrival { client_timeout: 32_000.0, latency_target: 32_000.0, ..arrival(stream, who as u64, who) });
+            if held == Admission::Queued {
                 owner.insert(stream, who);
             }
             stream += 1;
@@ -140,7 +157,7 @@
         }
         let mut got = [0.0; 2];
         for n in 0..200 {
-            door.ended(1.0, 0, 1.0, Ended::Served);
+            door.on_completion(1.0, 0, 1.0, Outcome::Success);
             for stream in handed(&mut door, 1.0) {
                 let who = owner[&stream];
                 got[who] += 1.0;
@@ -160,8 +177,8 @@
         steps in prop::collection::vec((0u8..6, 0u64..40, 0usize..3, 1.0f64..60.0), 1..400),
         limit in 1.0f64..20.0,
     ) {
-        let mut door = Door::new(Settings {
-            limit: (limit, 1.0, 20.0), memory: 64 << 10, longest_wait: 200.0, most_bytes: 4000, ..settings()
+        let mut door = AdmissionQueue::new(Settings {
+            limit: (limit, 1.0, 20.0), memory: 64 << 10, max_queue_time: 200.0, max_queued_bytes: 4000, ..settings()
         });
         let (mut now, mut next) = (1e6, 0u64);
         let (mut waiting, mut open) = (BTreeMap::new(), BTreeSet::new());
@@ -170,31 +187,31 @@
             match what {
                 0..=2 => {
                     next += 1;
-                    let asked = Arrival { wait: more * 40.0, bytes: 100, scarce: who == 0, ..arrival(next, who, plan) };
-                    match door.arrived(now, &asked) {
-                        Admission::Pass => prop_assert!(open.insert(next)),
-                        Admission::Held => {
+                    let asked = Arrival { client_timeout: more * 40.0, bytes: 100, resources_low: who == 0, ..arrival(next, who, plan) };
+                    match door.on_arrival(now, &asked) {
+                        Admission::Admitted => prop_assert!(open.insert(next)),
+                        Admission::Queued => {
                             prop_assert!(who != 0, "held though descriptors were short");
                             waiting.insert(next, now + (more * 10.0).min(200.0));
                         }
                         Admission::Refused(refusal) => {
-                            prop_assert!(refusal.hold_off > 0.0 && refusal.hold_off <= 10_001.0, "{refusal:?}");
+                            prop_assert!(refusal.retry_after > 0.0 && refusal.retry_after <= 10_001.0, "{refusal:?}");
                         }
                     }
                 }
                 3 => if let Some(stream) = waiting.keys().nth(who as usize).copied() {
                     waiting.remove(&stream);
-                    prop_assert!(door.left(stream) && !door.left(stream));
+                    prop_assert!(door.cancel(stream) && !door.cancel(stream));
                 },
                 _ => if open.pop_first().is_some() {
-                    door.ended(now, 0, more, if what == 4 { Ended::Served } else { Ended::Pressed });
+                    door.on_completion(now, 0, more, if what == 4 { Outcome::Success } else { Outcome::Dropped });
                 },
             }
             let mut actions = Vec::new();
             door.poll(now, &mut actions);
             for action in actions {
                 match action {
-                    Action::Pass(stream, waited) => {
+                    Action::Dispatch(stream, waited) => {
                         let latest = waiting.remove(&stream);
                         prop_assert!(latest.is_some_and(|l| now <= l + 1e-6) && waited >= 0.0, "{latest:?} {now}");
                         prop_assert!(open.insert(stream));
@@ -202,10 +219,10 @@
                     Action::Refuse(stream, _) => prop_assert!(waiting.remove(&stream).is_some()),
                 }
             }
-            prop_assert_eq!(door.held(), waiting.len());
-            prop_assert_eq!(door.open().0, open.len());
+            prop_assert_eq!(door.queued(), waiting.len());
+            prop_assert_eq!(door.concurrency().0, open.len());
             prop_assert!(waiting.values().all(|latest| now <= *latest), "held too long");
-            prop_assert!(waiting.is_empty() || open.len() as f64 >= door.open().1, "held though there is room");
+            prop_assert!(waiting.is_empty() || open.len() as f64 >= door.concurrency().1, "held though there is room");
         }
     }
 }
@@ -217,9 +234,13 @@
     let per_ms = places as f64 / takes;
     let mut fleet = Fleet::new(settings(), places, takes);
     let mut stream = 0;
-    let mut ask = |fleet: &mut Fleet, customer: u64| {
+    let mut ask = |fleet: &mut Fleet, subscriber: u64| {
         stream += 1;
-        let ends = fleet.arrive(&Arrival { wait: 2000.0, aim: 1500.0, ..arrival(stream, customer, 0) });
+        let ends = fleet.arrive(&Arrival {
+            client_timeout: 2000.0,
+            latency_target: 1500.0,
+            ..arrival(stream, subscriber, 0)
+        });
         (stream, ends)
     };
     // Two seconds of demand somewhat over what can pass, so that rates are known.
@@ -229,28 +250,28 @@
     }
     let start = fleet.now;
     fleet.refused.clear();
-    let before = fleet.door.figures().clone();
+    let before = fleet.door.counters().clone();
     // Six thousand within a second; who is refused comes back exactly when told, the once.
     let mut coming: BTreeSet<(u64, u64, bool)> =
         (0..6000).map(|n| (start as u64 * 6 + n, n, false)).collect();
     let (mut owner, mut told, mut crowd) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::<u64, usize>::new());
-    while let Some((at, customer, back)) = coming.pop_first() {
+    while let Some((at, subscriber, back)) = coming.pop_first() {
         fleet.until(at as f64 / 6.0);
-        let (stream, _) = ask(&mut fleet, customer);
+        let (stream, _) = ask(&mut fleet, subscriber);
         if back {
             told.insert(stream, at as f64 / 6.0);
             *crowd.entry((at as f64 / 600.0) as u64).or_default() += 1;
         } else {
-            owner.insert(stream, customer);
+            owner.insert(stream, subscriber);
         }
         for (stream, at, refusal) in fleet.refused.drain(..) {
-            if let Some(customer) = owner.remove(&stream) {
-                coming.insert((((at + refusal.hold_off) * 6.0).ceil() as u64, customer, true));
+            if let Some(subscriber) = owner.remove(&stream) {
+                coming.insert((((at + refusal.retry_after) * 6.0).ceil() as u64, subscriber, true));
             }
         }
     }
     fleet.until(fleet.now + 2000.0);
-    let after = fleet.door.figures();
+    let after = fleet.door.counters();
     assert!(told.len() >= 4500 && after.book_full == 0, "{} refused: {after:?}", told.len());
     let worst = crowd.values().max().copied().unwrap_or(0) as f64;
     assert!(worst <= 1.25 * per_ms * 100.0, "{worst} in 100 ms where {} can pass", per_ms * 100.0);
@@ -261,20 +282,20 @@
     assert!(after.met - before.met >= told.len() as u64 * 98 / 100, "{after:?}");
 }
 
-/// A door under pressure that has given this customer an appointment: its time and ticket.
-fn appointment(door: &mut Door, customer: u64) -> (f64, String) {
+/// A door under pressure that has given this subscriber an appointment: its time and ticket.
+fn appointment(door: &mut AdmissionQueue, subscriber: u64) -> (f64, String) {
     let now = 1_000_000.0;
-    if door.open().0 == 0 {
-        assert_eq!(door.arrived(now, &arrival(1, 1, 0)), Admission::Pass);
+    if door.concurrency().0 == 0 {
+        assert_eq!(door.on_arrival(now, &arrival(1, 1, 0)), Admission::Admitted);
     }
-    let scarce = Arrival { scarce: true, ..arrival(2, customer, 0) };
-    let Admission::Refused(refusal) = door.arrived(now, &scarce) else { panic!("refused") };
-    (now + refusal.hold_off, refusal.ticket.expect("a ticket"))
+    let scarce = Arrival { resources_low: true, ..arrival(2, subscriber, 0) };
+    let Admission::Refused(refusal) = door.on_arrival(now, &scarce) else { panic!("refused") };
+    (now + refusal.retry_after, refusal.ticket.expect("a ticket"))
 }
 
-fn door_with(keys: &str) -> Door {
-    let mut door = Door::new(full());
-    door.use_keys(Keys::read(keys).expect("sound"));
+fn door_with(keys: &str) -> AdmissionQueue {
+    let mut door = AdmissionQueue::new(full());
+    door.set_ticket_keys(TicketKeys::parse(keys).expect("sound"));
     door
 }
 
@@ -286,12 +307,12 @@
     let mut other = door_with(&format!("# changed today\n{KEY}\n{OLD}\n"));
     appointment(&mut other, 1);
     let back = Arrival { ticket: Some(ticket.as_bytes()), ..arrival(10, 42, 0) };
-    (20..24).for_each(|n| drop(other.arrived(due, &arrival(n, n, 0))));
-    assert_eq!(other.arrived(due, &back), Admission::Held);
-    assert_eq!(other.arrived(due, &Arrival { stream: 11, ..back }), Admission::Held, "as a newcomer");
-    other.ended(due, 0, 1.0, Ended::Served);
+    (20..24).for_each(|n| drop(other.on_arrival(due, &arrival(n, n, 0))));
+    assert_eq!(other.on_arrival(due, &back), Admission::Queued);
+    assert_eq!(other.on_arrival(due, &Arrival { stream: 11, ..back }), Admission::Queued, "as a newcomer");
+    other.on_completion(due, 0, 1.0, Outcome::Success);
     assert_eq!(handed(&mut other, due), [10], "before the newcomers");
-    let figures = other.figures();
+    let figures = other.counters();
     assert_eq!((figures.tickets_kept, figures.tickets_replayed), (1, 1));
     assert_eq!(figures.met, 1);
 }
@@ -300,10 +321,10 @@
 fn an_appointment_known_by_its_customer_is_not_kept_again_by_its_ticket() {
     let mut door = door_with(KEY);
     let (due, ticket) = appointment(&mut door, 42);
-    assert_eq!(door.arrived(due, &arrival(10, 42, 0)), Admission::Held);
+    assert_eq!(door.on_arrival(due, &arrival(10, 42, 0)), Admission::Queued);
     let back = Arrival { ticket: Some(ticket.as_bytes()), ..arrival(11, 42, 0) };
-    door.arrived(due, &back);
-    assert_eq!((door.figures().kept, door.figures().tickets_replayed), (1, 1));
+    door.on_arrival(due, &back);
+    assert_eq!((door.counters().kept, door.counters().tickets_replayed), (1, 1));
 }
 
 #[rstest::rstest]
@@ -317,7 +338,7 @@
 #[case::expired(|t: &str| t.into(), 42, 2001.0, "tickets_untimely")]
 fn a_ticket_that_is_not_good_counts_as_none(
     #[case] spoil: fn(&str) -> String,
-    #[case] customer: u64,
+    #[case] subscriber: u64,
     #[case] late: f64,
     #[case] counted: &str,
 ) {
@@ -325,11 +346,11 @@
     let (due, ticket) = appointment(&mut door, 42);
     let spoilt = spoil(&ticket);
     let due = due + late;
-    let back = Arrival { ticket: Some(spoilt.as_bytes()), ..arrival(10, customer, 0) };
+    let back = Arrival { ticket: Some(spoilt.as_bytes()), ..arrival(10, subscriber, 0) };
     // Without its ticket, 42 would be known by its name: it is asked for another class.
     let back = Arrival { class: 0, ..back };
-    door.arrived(due, &back);
-    let figures = door.figures().list();
+    door.on_arrival(due, &back);
+    let figures = door.counters().entries();
     let value = |name: &str| figures.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
     assert_eq!((value(counted), value("tickets_kept")), (Some(1), Some(0)), "{figures:?}");
 }
@@ -346,36 +367,36 @@
 #[case::no_hex(&format!("{KEY}\nzz{KEY}"), 2)]
 #[case::many(&format!("{KEY}\n").repeat(5), 5)]
 fn a_key_file_with_a_fault_names_the_line_and_no_key(#[case] text: &str, #[case] line: usize) {
-    assert_eq!(Keys::read(text).expect_err("a fault").0, line);
+    assert_eq!(TicketKeys::parse(text).expect_err("a fault").0, line);
 }
 
 #[test]
 fn keys_do_not_show_in_a_log() {
-    let shown = format!("{:?}", Keys::read(KEY).expect("sound"));
+    let shown = format!("{:?}", TicketKeys::parse(KEY).expect("sound"));
     assert!(!shown.contains("00") && !shown.contains("17"), "{shown}");
 }
 
 #[test]
 fn whole_seconds_are_met_to_the_second_and_spread_over_several() {
     // Guarded against: a time between two seconds that is rounded up behind the book's back.
-    let mut door = Door::new(full());
-    assert_eq!(door.arrived(0.0, &arrival(0, 0, 0)), Admission::Pass);
+    let mut door = AdmissionQueue::new(full());
+    assert_eq!(door.on_arrival(0.0, &arrival(0, 0, 0)), Admission::Admitted);
     let mut told: BTreeMap<u64, usize> = BTreeMap::new();
     for n in 1..=30 {
-        let ask = Arrival { scarce: true, whole_seconds: true, ..arrival(n, n, 0) };
-        let Admission::Refused(refusal) = door.arrived(1.0, &ask) else { panic!("refused") };
-        if door.figures().book_full == 0 {
-            assert_eq!(refusal.hold_off % 1000.0, 0.0);
-            *told.entry(refusal.hold_off as u64).or_default() += 1;
+        let ask = Arrival { resources_low: true, whole_seconds: true, ..arrival(n, n, 0) };
+        let Admission::Refused(refusal) = door.on_arrival(1.0, &ask) else { panic!("refused") };
+        if door.counters().book_full == 0 {
+            assert_eq!(refusal.retry_after % 1000.0, 0.0);
+            *told.entry(refusal.retry_after as u64).or_default() += 1;
         }
     }
-    assert!(told.len() > 3 && door.figures().book_full > 0, "{told:?}");
+    assert!(told.len() > 3 && door.counters().book_full > 0, "{told:?}");
 }
 
 #[test]
 fn memory_is_the_same_after_a_million_subscribers() {
     let mut fleet = Fleet::new(Settings { memory: 1 << 20, ..settings() }, 20, 20.0);
-    let before = fleet.door.memory();
+    let before = fleet.door.memory_bytes();
     for n in 0..1_000_000u64 {
         fleet.until(1_000_000.0 + n as f64 / 2.0);
         fleet.arrive(&arrival(n, n, 0));
@@ -384,9 +405,9 @@
             fleet.handed.clear();
         }
     }
-    assert_eq!(fleet.door.memory(), before);
+    assert_eq!(fleet.door.memory_bytes(), before);
     assert!(before <= 1 << 20, "{before} bytes");
-    let figures = fleet.door.figures();
+    let figures = fleet.door.counters();
     assert!(
         figures.handed_on > 400_000 && figures.refused_wait + figures.refused_room > 400_000,
         "{figures:?}"
@@ -399,9 +420,9 @@
     let mut fleet = Fleet::new(settings(), 20, 40.0);
     for n in 0..60_000u64 {
         fleet.until(1_000_000.0 + n as f64);
-        fleet.arrive(&Arrival { wait: 2000.0, aim: 1500.0, ..arrival(n, n, 0) });
+        fleet.arrive(&Arrival { client_timeout: 2000.0, latency_target: 1500.0, ..arrival(n, n, 0) });
     }
-    let (_, limit) = fleet.door.open();
+    let (_, limit) = fleet.door.concurrency();
     let last: Vec<_> = fleet.handed.iter().filter(|(_, at)| *at > 1_050_000.0).collect();
     let served = last.len() as f64 / 10_000.0 / (20.0 / 40.0);
     assert!((16.0..=40.0).contains(&limit) && served > 0.9, "limit {limit}, {served} of what can be done");
@@ -424,9 +445,17 @@
         let who = n % every / (every / 10);
         if n % (every / 10) == 0 {
             regular.insert(n);
-            fleet.arrive(&Arrival { wait: 2000.0, aim: 1500.0, ..arrival(n, 1 + who, 0) });
+            fleet.arrive(&Arrival {
+                client_timeout: 2000.0,
+                latency_target: 1500.0,
+                ..arrival(n, 1 + who, 0)
+            });
         } else if n % 4 != 0 {
-            fleet.arrive(&Arrival { wait: 2000.0, aim: 1500.0, ..arrival(n, 100 + n, 0) });
+            fleet.arrive(&Arrival {
+                client_timeout: 2000.0,
+                latency_target: 1500.0,
+                ..arrival(n, 100 + n, 0)
+            });
         }
     }
     let passed = fleet.handed.iter().filter(|(stream, _)| regular.contains(stream)).count() as f64;
@@ -448,7 +477,7 @@
 #[case(1 << 20)]
 #[case(6 << 20)]
 fn a_door_takes_no_more_than_its_share(#[case] memory: usize) {
-    let door = Door::new(Settings { memory, longest_hold_off: 60_000.0, ..settings() });
+    let door = AdmissionQueue::new(Settings { memory, max_retry_after: 60_000.0, ..settings() });
     // Histograms and rings are the same whatever the share.
-    assert!(door.memory() <= memory + (160 << 10), "{} of {memory}", door.memory());
+    assert!(door.memory_bytes() <= memory + (160 << 10), "{} of {memory}", door.memory_bytes());
 }
--- a/crates/door/tests/fleet/mod.rs
+++ b/crates/door/tests/fleet/mod.rs
@@ -3,10 +3,10 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use switchhill_door::{Action, Admission, Arrival, Door, Ended, Refusal, Settings};
+use switchhill_door::{Action, Admission, AdmissionQueue, Arrival, Outcome, Refusal, Settings};
 
 pub struct Fleet {
-    pub door: Door,
+    pub door: AdmissionQueue,
     pub now: f64,
     places: usize,
     takes: f64,
@@ -26,7 +26,7 @@
     /// `places` streams run at once, each for `takes` milliseconds; more wait behind them.
     pub fn new(settings: Settings, places: usize, takes: f64) -> Self {
         Self {
-            door: Door::new(settings),
+            door: AdmissionQueue::new(settings),
             now: 1_000_000.0,
             places,
             takes,
@@ -50,11 +50,11 @@
     }
 
     pub fn arrive(&mut self, arrival: &Arrival<'_>) -> Admission {
-        let admission = self.door.arrived(self.now, arrival);
+        let admission = self.door.on_arrival(self.now, arrival);
         match &admission {
-            Admission::Pass => self.hand_on(arrival.stream),
+            Admission::Admitted => self.hand_on(arrival.stream),
             Admission::Refused(refusal) => self.refused.push((arrival.stream, self.now, refusal.clone())),
-            Admission::Held => {}
+            Admission::Queued => {}
         }
         admission
     }
@@ -63,7 +63,7 @@
     pub fn until(&mut self, to: f64) {
         loop {
             let ends = self.running.peek().map(|Reverse((at, _))| *at as f64 / 1000.0);
-            let due = self.door.next_due().map(|due| due.max(self.now));
+            let due = self.door.next_poll_at().map(|due| due.max(self.now));
             let next = ends.into_iter().chain(due).fold(f64::INFINITY, f64::min);
             if next > to {
                 break;
@@ -72,7 +72,7 @@
             while self.running.peek().is_some_and(|Reverse((at, _))| *at as f64 / 1000.0 <= self.now) {
                 let Some(Reverse((_, stream))) = self.running.pop() else { break };
                 let since = self.passed_at.remove(&stream).expect("running");
-                self.door.ended(self.now, 0, self.now - since, Ended::Served);
+                self.door.on_completion(self.now, 0, self.now - since, Outcome::Success);
             }
             self.poll();
         }
@@ -85,7 +85,7 @@
         self.door.poll(self.now, &mut actions);
         for action in actions {
             match action {
-                Action::Pass(stream, _) => self.hand_on(stream),
+                Action::Dispatch(stream, _) => self.hand_on(stream),
                 Action::Refuse(stream, refusal) => self.refused.push((stream, self.now, refusal)),
             }
         }
--- a/fuzz/fuzz_targets/ticket.rs
+++ b/fuzz/fuzz_targets/ticket.rs
@@ -2,13 +2,13 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use switchhill_door::{Arrival, Door, Keys, Settings};
+use switchhill_door::{AdmissionQueue, Arrival, Settings, TicketKeys};
 
 fuzz_target!(|bytes: &[u8]| {
-    let mut door = Door::new(Settings { memory: 64 << 10, ..Settings::default() });
-    if let Ok(keys) = Keys::read(&"5a".repeat(32)) {
-        door.use_keys(keys);
+    let mut door = AdmissionQueue::new(Settings { memory: 64 << 10, ..Settings::default() });
+    if let Ok(keys) = TicketKeys::parse(&"5a".repeat(32)) {
+        door.set_ticket_keys(keys);
     }
-    door.arrived(1e12, &Arrival { stream: 1, customer: 1, ticket: Some(bytes), ..Arrival::default() });
-    assert_eq!(door.figures().tickets_kept, 0);
+    door.on_arrival(1e12, &Arrival { stream: 1, subscriber: 1, ticket: Some(bytes), ..Arrival::default() });
+    assert_eq!(door.counters().tickets_kept, 0);
 });
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::hash::{BuildHasher, RandomState};
-use switchhill_door::{Action, Admission, Arrival, Door, Ended, Keys, Refusal, Settings};
+use switchhill_door::{Action, Admission, AdmissionQueue, Arrival, Outcome, Refusal, Settings, TicketKeys};
 
 /// Share of the memory that the door takes: half a MiB of the least that a gateway gets.
 const SHARE: usize = 32;
@@ -30,7 +30,7 @@
 
 /// The door and the streams that it knows of.
 pub(super) struct AtDoor {
-    door: Door,
+    door: AdmissionQueue,
     aims: Vec<Millis>,
     plans: Vec<String>,
     known: HashMap<StreamId, Known>,
@@ -55,20 +55,20 @@
         let mut key = [0; 16];
         key[..8].copy_from_slice(&random());
         key[8..].copy_from_slice(&random());
-        let mut door = Door::new(Settings {
-            classes: told.module.classes.len(),
-            weights: plans.iter().enumerate().map(|(n, plan)| own(n, plan.rate)).collect(),
+        let mut door = AdmissionQueue::new(Settings {
+            class_count: told.module.classes.len(),
+            plan_weights: plans.iter().enumerate().map(|(n, plan)| own(n, plan.rate)).collect(),
             memory: memory / SHARE,
-            most_bytes: most_held / HELD_SHARE,
-            longest_wait: wanted.longest_wait,
-            per_subscriber: wanted.per_subscriber,
+            max_queued_bytes: most_held / HELD_SHARE,
+            max_queue_time: wanted.longest_wait,
+            max_queued_per_subscriber: wanted.per_subscriber,
             limit: wanted.limit,
-            book_share: wanted.book_share,
-            longest_hold_off: longest,
-            grace: wanted.grace,
-            key,
+            appointment_share: wanted.book_share,
+            max_retry_after: longest,
+            appointment_grace: wanted.grace,
+            hash_key: key,
         });
-        door.use_keys(wanted.keys.clone());
+        door.set_ticket_keys(wanted.keys.clone());
         Self {
             door,
             aims: told.module.classes.iter().map(|class| class.aim).collect(),
@@ -79,13 +79,13 @@
         }
     }
 
-    pub(super) fn use_keys(&mut self, keys: Keys) {
-        self.door.use_keys(keys);
+    pub(super) fn use_keys(&mut self, keys: TicketKeys) {
+        self.door.set_ticket_keys(keys);
     }
 
     pub(super) fn next_due(&self) -> Option<Millis> {
         if self.refused.is_empty() {
-            self.door.next_due()
+            self.door.next_poll_at()
         } else {
             Some(0.0)
         }
@@ -94,12 +94,12 @@
     fn arrival<'a>(&self, stream: StreamId, terms: &Terms, whole_seconds: bool) -> Arrival<'a> {
         Arrival {
             stream,
-            customer: terms.customer,
+            subscriber: terms.customer,
             class: terms.class,
             plan: terms.plan,
             units: terms.units,
-            wait: if terms.wait > 0.0 { terms.wait } else { NO_END },
-            aim: self.aims.get(terms.class).copied().unwrap_or(NO_END),
+            client_timeout: if terms.wait > 0.0 { terms.wait } else { NO_END },
+            latency_target: self.aims.get(terms.class).copied().unwrap_or(NO_END),
             whole_seconds,
             ..Arrival::default()
         }
@@ -107,16 +107,16 @@
 
     /// A stream's exchange is over, whatever became of it.
     pub(super) fn gone(&mut self, now: Millis, stream: StreamId) {
-        self.ended(now, stream, Ended::Otherwise);
+        self.ended(now, stream, Outcome::Ignored);
     }
 
     /// A stream that was handed on has its answer.
-    pub(super) fn ended(&mut self, now: Millis, stream: StreamId, how: Ended) {
+    pub(super) fn ended(&mut self, now: Millis, stream: StreamId, how: Outcome) {
         let Some(known) = self.known.remove(&stream) else { return };
         if known.handed_on {
-            self.door.ended(now, known.terms.class, now - known.since, how);
+            self.door.on_completion(now, known.terms.class, now - known.since, how);
         } else {
-            self.door.left(stream);
+            self.door.cancel(stream);
         }
     }
 
@@ -125,19 +125,19 @@
         let known = self.known.get(&stream)?;
         let pressed = matches!(why, Why::Price | Why::NoBackend | Why::Spent);
         let arrival = self.arrival(stream, &known.terms, known.whole_seconds);
-        self.ended(now, stream, if pressed { Ended::Pressed } else { Ended::Otherwise });
-        pressed.then(|| self.door.refused_behind(now, &arrival))
+        self.ended(now, stream, if pressed { Outcome::Dropped } else { Outcome::Ignored });
+        pressed.then(|| self.door.refuse_after_dispatch(now, &arrival))
     }
 
     /// Its figures, in the form of the counters.
     pub(super) fn figures(&self) -> String {
         let mut text = String::new();
-        let (open, limit) = self.door.open();
-        let _ = writeln!(text, "switchhill_door_held_now {}", self.door.held());
+        let (open, limit) = self.door.concurrency();
+        let _ = writeln!(text, "switchhill_door_held_now {}", self.door.queued());
         let _ = writeln!(text, "switchhill_door_open_now {open}");
         let _ = writeln!(text, "switchhill_door_limit {limit:.1}");
-        let _ = writeln!(text, "switchhill_door_memory_bytes {}", self.door.memory());
-        for (name, value) in self.door.figures().list() {
+        let _ = writeln!(text, "switchhill_door_memory_bytes {}", self.door.memory_bytes());
+        for (name, value) in self.door.counters().entries() {
             let _ = writeln!(text, "switchhill_door_{name} {value}");
         }
         for (plan, sojourn) in self.plans.iter().zip(self.door.sojourn()) {
@@ -147,7 +147,7 @@
                 let _ = writeln!(text, "switchhill_door_sojourn_ms{{{labels}}} {ms:.1}");
             }
         }
-        for busy in self.door.busiest().iter().take(8) {
+        for busy in self.door.heavy_hitters().iter().take(8) {
             let labels = format!("customer=\"{:016x}\",at_most_less=\"{}\"", busy.subscriber, busy.error);
             let _ = writeln!(text, "switchhill_door_busiest{{{labels}}} {}", busy.count);
         }
@@ -157,7 +157,7 @@
 
 /// The answer to a stream that the door refuses.
 pub(super) fn told(told: &Refusal, downstream: Downstream) -> Answer {
-    let mut answer = refusal(told.hold_off, downstream);
+    let mut answer = refusal(told.retry_after, downstream);
     if let Some(ticket) = &told.ticket {
         answer.header("x-appointment", ticket.as_bytes());
     }
@@ -169,7 +169,7 @@
     pub(super) fn short_of_room(&mut self, downstream: Downstream, message: &Message) -> Answer {
         if let (Some(at), Ok(terms)) = (&mut self.door, message.terms(&self.told)) {
             let arrival = at.arrival(StreamId::MAX, &terms, downstream.whole_seconds());
-            return told(&at.door.refused_scarce(self.now, &arrival), downstream);
+            return told(&at.door.refuse_low_resources(self.now, &arrival), downstream);
         }
         refusal(SCARCE_HOLD_OFF, downstream)
     }
@@ -186,18 +186,20 @@
             bytes: message.size(),
             // Held streams keep a descriptor and their bytes: nothing is held once three quarters of the one or
             // half of the other are taken.
-            scarce: self.downstreams * 4 > self.most_downstreams * 3 || self.held_bytes * 2 > self.most_held,
+            resources_low: self.downstreams * 4 > self.most_downstreams * 3
+                || self.held_bytes * 2 > self.most_held,
             ticket: message.ticket(),
             ..at.arrival(id, &terms, whole_seconds)
         };
-        let admission = at.door.arrived(self.now, &arrival);
-        let known = Known { terms, since: self.now, handed_on: admission == Admission::Pass, whole_seconds };
+        let admission = at.door.on_arrival(self.now, &arrival);
+        let known =
+            Known { terms, since: self.now, handed_on: admission == Admission::Admitted, whole_seconds };
         match admission {
-            Admission::Pass => {
+            Admission::Admitted => {
                 self.inputs.push(Input::StreamArrived(id, known.terms.clone()));
                 at.known.insert(id, known);
             }
-            Admission::Held => drop(at.known.insert(id, known)),
+            Admission::Queued => drop(at.known.insert(id, known)),
             // Its front still has its connection in hand: the answer goes out later in this round.
             Admission::Refused(refusal) => at.refused.push((id, refusal)),
         }
@@ -211,7 +213,7 @@
         at.door.poll(self.now, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Pass(stream, waited) => {
+                Action::Dispatch(stream, waited) => {
                     let Some(known) = at.known.get_mut(&stream) else { continue };
                     known.handed_on = true;
                     known.since = self.now;
--- a/src/net/rounds.rs
+++ b/src/net/rounds.rs
@@ -10,7 +10,7 @@
 use crate::process::signals::{self, Asked};
 use std::io;
 use std::time::Duration;
-use switchhill_door::Ended;
+use switchhill_door::Outcome;
 
 impl Gateway {
     /// Runs until told to stop and all that was taken is answered.
@@ -153,7 +153,7 @@
             Command::Send(id, host, wait) => self.send(id, &host, wait),
             Command::Stop(id, timed_out) => self.stop(id, timed_out),
             Command::Deliver((stream, _)) => {
-                self.told_door(stream, Ended::Served);
+                self.told_door(stream, Outcome::Success);
                 let Some(exchange) = self.take_exchange(stream) else { return };
                 match exchange.answer {
                     Some((_, answer)) => self.answer(exchange.downstream, exchange.deadline, answer),
@@ -173,7 +173,7 @@
                 self.answer(exchange.downstream, exchange.deadline, answer);
             }
             Command::Fail(stream, late) => {
-                self.told_door(stream, if late { Ended::Pressed } else { Ended::Otherwise });
+                self.told_door(stream, if late { Outcome::Dropped } else { Outcome::Ignored });
                 let Some(exchange) = self.drop_exchange(stream) else { return };
                 let answer = local(if late { 504 } else { 502 }, b"");
                 self.answer(exchange.downstream, exchange.deadline, answer);
--- a/src/net/streams.rs
+++ b/src/net/streams.rs
@@ -5,13 +5,13 @@
 use crate::core::{End, Input, StreamId, UpstreamId};
 use crate::interface::{BackendId, Code, Effect, Millis};
 use crate::memory::figures::Outcome as Ending;
-use switchhill_door::Ended;
+use switchhill_door::Outcome;
 
 /// What a client is told that came while connections or memory are scarce.
 pub(super) const SCARCE_HOLD_OFF: Millis = 500.0;
 
 impl Gateway {
-    pub(super) fn told_door(&mut self, stream: StreamId, how: Ended) {
+    pub(super) fn told_door(&mut self, stream: StreamId, how: Outcome) {
         if let Some(at) = &mut self.door {
             at.ended(self.now, stream, how);
         }
--- a/src/process/config.rs
+++ b/src/process/config.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use switchhill_door::Keys;
+use switchhill_door::TicketKeys;
 
 /// One entry of discovery's list: what the module hears of a worker, and what only the wire needs.
 #[derive(Debug, Clone, PartialEq)]
@@ -161,7 +161,7 @@
     /// Where the keys for tickets lie.
     pub key_file: Option<PathBuf>,
     /// The keys.
-    pub keys: Keys,
+    pub keys: TicketKeys,
 }
 
 /// The files that the program is told by; both are read again at SIGHUP.
@@ -362,8 +362,8 @@
     text_of(path)
 }
 
-fn read_keys(path: &Path) -> Result<Keys, String> {
-    Keys::read(&private_text(path)?).map_err(|(line, why)| format!("{}:{line}: {why}", path.display()))
+fn read_keys(path: &Path) -> Result<TicketKeys, String> {
+    TicketKeys::parse(&private_text(path)?).map_err(|(line, why)| format!("{}:{line}: {why}", path.display()))
 }
 
 /// The first line of a secret's file.
@@ -499,7 +499,7 @@
         longest_hold_off: appointments.at("longest_hold_off_ms").number(1000.0..=600_000.0, 10_000.0),
         grace: appointments.at("grace_ms").number(100.0..=60_000.0, 2000.0),
         key_file: key_file.given().then(|| key_file.text("").into()),
-        keys: Keys::default(),
+        keys: TicketKeys::default(),
     })
 }
 
