--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,16 +1,16 @@
 //! A gateway's return after a restart, alone or with most others, or after the shared store was lost.
 //!
 //! Four decisions, each a state machine without I/O: when to try again what failed ([`Backoff`]), when to begin what all
-//! would begin at once ([`first_at`]), what of a state that outlived its process may be used ([`Ages::judge`]), and how
-//! far the return has come ([`Return`]). Times are milliseconds of the caller's clock, passed in.
+//! would begin at once ([`staggered_start`]), what of a state that outlived its process may be used ([`MaxAges::reuse`]), and how
+//! far the return has come ([`RecoveryProgress`]). Times are milliseconds of the caller's clock, passed in.
 //!
 //! ```
-//! use switchhill_recovery::{Ages, Part, Use};
+//! use switchhill_recovery::{MaxAges, StatePart, Reuse};
 //!
-//! let ages = Ages::default();
-//! assert_eq!(ages.judge(Part::Prices, 1_000, true), Use::Whole);
-//! assert_eq!(ages.judge(Part::Prices, 60_000, true), Use::Not);
-//! assert_eq!(ages.judge(Part::Slices, 1_000, false), Use::AsBound, "another version: never as a looser rule");
+//! let ages = MaxAges::default();
+//! assert_eq!(ages.reuse(StatePart::Prices, 1_000, true), Reuse::Whole);
+//! assert_eq!(ages.reuse(StatePart::Prices, 60_000, true), Reuse::Not);
+//! assert_eq!(ages.reuse(StatePart::Slices, 1_000, false), Reuse::AsBound, "another version: never as a looser rule");
 //! ```
 
 use backon::{BackoffBuilder, ExponentialBackoff, ExponentialBuilder};
@@ -27,32 +27,32 @@
 pub struct Backoff {
     builder: ExponentialBuilder,
     ceilings: ExponentialBackoff,
-    longest: Duration,
-    chance: fastrand::Rng,
+    max_delay: Duration,
+    rng: fastrand::Rng,
 }
 
 impl Backoff {
-    /// A first ceiling of `first_ms`, doubled up to `longest_ms`; `seed` is the gateway's told one, so that no two draw
+    /// A first ceiling of `first_ms`, doubled up to `max_ms`; `seed` is the gateway's told one, so that no two draw
     /// the same waits.
     #[must_use]
-    pub fn new(first_ms: Ms, longest_ms: Ms, seed: u64) -> Self {
-        let longest = Duration::from_millis(longest_ms.max(1));
+    pub fn new(first_ms: Ms, max_ms: Ms, seed: u64) -> Self {
+        let max_delay = Duration::from_millis(max_ms.max(1));
         let builder = ExponentialBuilder::new()
             .with_min_delay(Duration::from_millis(first_ms.max(1)))
-            .with_max_delay(longest)
+            .with_max_delay(max_delay)
             .with_factor(2.0)
             .without_max_times();
-        Self { builder, ceilings: builder.build(), longest, chance: fastrand::Rng::with_seed(seed) }
+        Self { builder, ceilings: builder.build(), max_delay, rng: fastrand::Rng::with_seed(seed) }
     }
 
     /// It failed: how long to wait before the next try.
-    pub fn failed(&mut self) -> Ms {
-        let ceiling = self.ceilings.next().unwrap_or(self.longest);
-        self.chance.u64(1..=(ceiling.as_millis() as Ms).max(1))
+    pub fn next_delay(&mut self) -> Ms {
+        let ceiling = self.ceilings.next().unwrap_or(self.max_delay);
+        self.rng.u64(1..=(ceiling.as_millis() as Ms).max(1))
     }
 
     /// It went well: the next failure waits little again.
-    pub fn succeeded(&mut self) {
+    pub fn reset(&mut self) {
         self.ceilings = self.builder.build();
     }
 }
@@ -60,16 +60,16 @@
 /// When, after its start, a gateway begins what all that started with it would begin at once: evenly over `spread_ms` by
 /// its told number, and moved within its own part by its seed.
 #[must_use]
-pub fn first_at(spread_ms: Ms, gateways: u32, ordinal: u32, seed: u64) -> Ms {
+pub fn staggered_start(spread_ms: Ms, gateways: u32, ordinal: u32, seed: u64) -> Ms {
     let gateways = u64::from(gateways.max(1));
-    let part = spread_ms / gateways;
-    let within = if part > 0 { fastrand::Rng::with_seed(seed).u64(0..=part) } else { 0 };
-    (u64::from(ordinal) % gateways * spread_ms / gateways + within).min(spread_ms)
+    let slot = spread_ms / gateways;
+    let jitter = if slot > 0 { fastrand::Rng::with_seed(seed).u64(0..=slot) } else { 0 };
+    (u64::from(ordinal) % gateways * spread_ms / gateways + jitter).min(spread_ms)
 }
 
 /// A part of the state that outlives a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum StatePart {
     /// Hosts that operators called out.
     Cordons,
     /// Discovery's list.
@@ -84,7 +84,7 @@
 
 /// How a part may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum Reuse {
     /// As it was.
     Whole,
     /// Only where it is the stricter: it may hold back, never allow.
@@ -95,7 +95,7 @@
 
 /// Up to which age each part is used, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ages {
+pub struct MaxAges {
     /// Cordons hold back only, so they are good for long.
     pub cordons: Ms,
     /// A list stands in until discovery answers.
@@ -110,7 +110,7 @@
     pub evidence: Ms,
 }
 
-impl Default for Ages {
+impl Default for MaxAges {
     fn default() -> Self {
         Self {
             cordons: 24 * 3_600_000,
@@ -123,20 +123,20 @@
     }
 }
 
-impl Ages {
+impl MaxAges {
     /// How `part` may be used that is `age` old, and was made under the settings in force now or under others.
     #[must_use]
-    pub fn judge(&self, part: Part, age: Ms, same_settings: bool) -> Use {
-        let up_to = |most: Ms, how: Use| if age <= most { how } else { Use::Not };
+    pub fn reuse(&self, part: StatePart, age: Ms, same_settings: bool) -> Reuse {
+        let up_to = |most: Ms, how: Reuse| if age <= most { how } else { Reuse::Not };
         match part {
-            Part::Cordons => up_to(self.cordons, Use::AsBound),
-            Part::List => up_to(self.list, Use::AsBound),
-            Part::Slices if same_settings && age <= self.slices => Use::Whole,
-            Part::Slices => up_to(self.slices_bound, Use::AsBound),
+            StatePart::Cordons => up_to(self.cordons, Reuse::AsBound),
+            StatePart::List => up_to(self.list, Reuse::AsBound),
+            StatePart::Slices if same_settings && age <= self.slices => Reuse::Whole,
+            StatePart::Slices => up_to(self.slices_bound, Reuse::AsBound),
             // Under other settings a price is that of another load; it says nothing.
-            Part::Prices if !same_settings => Use::Not,
-            Part::Prices => up_to(self.prices, Use::Whole),
-            Part::Evidence => up_to(self.evidence, Use::Whole),
+            StatePart::Prices if !same_settings => Reuse::Not,
+            StatePart::Prices => up_to(self.prices, Reuse::Whole),
+            StatePart::Evidence => up_to(self.evidence, Reuse::Whole),
         }
     }
 }
@@ -171,28 +171,28 @@
 
 /// What a gateway sees of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observation {
     /// The store answered, or there is none.
-    pub store: bool,
+    pub store_reached: bool,
     /// The registers are confirmed, or there is no agreement.
-    pub versions: bool,
+    pub versions_agreed: bool,
     /// Hosts are known and none of those in use is cold.
-    pub warm: bool,
+    pub hosts_warm: bool,
     /// When something was last turned away for want of a host or by price.
-    pub pressed_at: Option<Ms>,
+    pub last_refused_at: Option<Ms>,
 }
 
 /// Nothing turned away for this long is full service.
-pub const UNPRESSED_MS: Ms = 1000;
+pub const FULL_SERVICE_QUIET_MS: Ms = 1000;
 
 /// The phases of one return.
 #[derive(Debug)]
-pub struct Return {
+pub struct RecoveryProgress {
     started: Ms,
     phase: Phase,
 }
 
-impl Return {
+impl RecoveryProgress {
     /// A process that started at `now`.
     #[must_use]
     pub fn new(now: Ms) -> Self {
@@ -206,18 +206,20 @@
     }
 
     /// Looks at what there is at `now`; gives each phase that is reached by it, with how long after the start.
-    pub fn observe(&mut self, now: Ms, seen: Seen) -> Vec<(Phase, Ms)> {
+    pub fn observe(&mut self, now: Ms, observation: Observation) -> Vec<(Phase, Ms)> {
         let mut reached = Vec::new();
-        let unpressed_since = seen.pressed_at.unwrap_or(self.started).max(self.started);
+        let quiet_since = observation.last_refused_at.unwrap_or(self.started).max(self.started);
         loop {
-            let (next, there) = match self.phase {
-                Phase::Started => (Phase::StoreReached, seen.store),
-                Phase::StoreReached => (Phase::VersionsAgreed, seen.versions),
-                Phase::VersionsAgreed => (Phase::HostsWarm, seen.warm),
-                Phase::HostsWarm => (Phase::FullService, now.saturating_sub(unpressed_since) >= UNPRESSED_MS),
+            let (next, reached_next) = match self.phase {
+                Phase::Started => (Phase::StoreReached, observation.store_reached),
+                Phase::StoreReached => (Phase::VersionsAgreed, observation.versions_agreed),
+                Phase::VersionsAgreed => (Phase::HostsWarm, observation.hosts_warm),
+                Phase::HostsWarm => {
+                    (Phase::FullService, now.saturating_sub(quiet_since) >= FULL_SERVICE_QUIET_MS)
+                }
                 Phase::FullService => break,
             };
-            if !there {
+            if !reached_next {
                 break;
             }
             self.phase = next;
--- a/crates/recovery/src/tests.rs
+++ b/crates/recovery/src/tests.rs
@@ -5,39 +5,39 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::fresh(Part::Slices, 4_000, true, Use::Whole)]
-#[case::missed_more_than_a_period(Part::Slices, 4_001, true, Use::AsBound)]
-#[case::other_settings(Part::Slices, 10, false, Use::AsBound)]
-#[case::too_old_even_for_a_bound(Part::Slices, 60_001, true, Use::Not)]
-#[case::price_of_seconds_ago(Part::Prices, 5_001, true, Use::Not)]
-#[case::price_of_another_load(Part::Prices, 10, false, Use::Not)]
-#[case::cordon_of_yesterday(Part::Cordons, 80_000_000, false, Use::AsBound)]
-#[case::list(Part::List, 10, true, Use::AsBound)]
-#[case::list_too_old(Part::List, 600_001, true, Use::Not)]
-#[case::evidence(Part::Evidence, 60_000, false, Use::Whole)]
-#[case::evidence_too_old(Part::Evidence, 60_001, false, Use::Not)]
+#[case::fresh(StatePart::Slices, 4_000, true, Reuse::Whole)]
+#[case::missed_more_than_a_period(StatePart::Slices, 4_001, true, Reuse::AsBound)]
+#[case::other_settings(StatePart::Slices, 10, false, Reuse::AsBound)]
+#[case::too_old_even_for_a_bound(StatePart::Slices, 60_001, true, Reuse::Not)]
+#[case::price_of_seconds_ago(StatePart::Prices, 5_001, true, Reuse::Not)]
+#[case::price_of_another_load(StatePart::Prices, 10, false, Reuse::Not)]
+#[case::cordon_of_yesterday(StatePart::Cordons, 80_000_000, false, Reuse::AsBound)]
+#[case::list(StatePart::List, 10, true, Reuse::AsBound)]
+#[case::list_too_old(StatePart::List, 600_001, true, Reuse::Not)]
+#[case::evidence(StatePart::Evidence, 60_000, false, Reuse::Whole)]
+#[case::evidence_too_old(StatePart::Evidence, 60_001, false, Reuse::Not)]
 fn a_part_is_used_by_its_age_and_the_settings_it_was_made_under(
-    #[case] part: Part,
+    #[case] part: StatePart,
     #[case] age: Ms,
     #[case] same: bool,
-    #[case] how: Use,
+    #[case] how: Reuse,
 ) {
-    assert_eq!(Ages::default().judge(part, age, same), how);
+    assert_eq!(MaxAges::default().reuse(part, age, same), how);
 }
 
 #[test]
 fn phases_come_in_order_each_once_and_pressure_holds_full_service_back() {
-    let mut back = Return::new(1000);
-    let mut seen = Seen { warm: true, versions: true, ..Seen::default() };
-    assert_eq!(back.observe(1500, seen), [], "nothing counts before the store");
-    seen.store = true;
+    let mut progress = RecoveryProgress::new(1000);
+    let mut observation = Observation { hosts_warm: true, versions_agreed: true, ..Observation::default() };
+    assert_eq!(progress.observe(1500, observation), [], "nothing counts before the store");
+    observation.store_reached = true;
     let phases = [Phase::StoreReached, Phase::VersionsAgreed, Phase::HostsWarm];
-    assert_eq!(back.observe(1600, seen), phases.map(|phase| (phase, 600)));
-    seen.pressed_at = Some(1900);
-    assert_eq!(back.observe(2800, seen), []);
-    seen.store = false;
-    assert_eq!(back.observe(2900, seen), [(Phase::FullService, 1900)], "what was reached stays");
-    assert_eq!((back.phase(), back.observe(9000, seen)), (Phase::FullService, vec![]));
+    assert_eq!(progress.observe(1600, observation), phases.map(|phase| (phase, 600)));
+    observation.last_refused_at = Some(1900);
+    assert_eq!(progress.observe(2800, observation), []);
+    observation.store_reached = false;
+    assert_eq!(progress.observe(2900, observation), [(Phase::FullService, 1900)], "what was reached stays");
+    assert_eq!((progress.phase(), progress.observe(9000, observation)), (Phase::FullService, vec![]));
 }
 
 #[test]
@@ -46,7 +46,7 @@
         (0..300u64)
             .map(|seed| {
                 let mut backoff = Backoff::new(50, 1000, seed);
-                (0..tries).map(|_| backoff.failed()).sum()
+                (0..tries).map(|_| backoff.next_delay()).sum()
             })
             .collect()
     };
@@ -54,7 +54,7 @@
     let moments = after(6);
     let most = (0..30).map(|n| moments.iter().filter(|at| **at / 100 == n).count()).max();
     assert!(most.is_some_and(|most| most <= 60), "{most:?}");
-    let mut first: Vec<Ms> = (0..16).map(|n| first_at(500, 16, n, 7 + u64::from(n))).collect();
+    let mut first: Vec<Ms> = (0..16).map(|n| staggered_start(500, 16, n, 7 + u64::from(n))).collect();
     first.dedup();
     assert!(first.is_sorted() && first.len() >= 15 && first[15] >= 468, "{first:?}");
 }
@@ -65,16 +65,16 @@
         let mut backoff = Backoff::new(first, longest.max(first), seed);
         let mut ceiling = first;
         for _ in 0..12 {
-            let wait = backoff.failed();
+            let wait = backoff.next_delay();
             prop_assert!((1..=ceiling.min(longest.max(first))).contains(&wait), "{wait} over {ceiling}");
             ceiling = ceiling.saturating_mul(2);
         }
-        backoff.succeeded();
-        prop_assert!(backoff.failed() <= first);
+        backoff.reset();
+        prop_assert!(backoff.next_delay() <= first);
     }
 
     #[test]
     fn everyone_begins_within_the_spread(spread in 0..10_000u64, gateways in 0..400u32, ordinal: u32, seed: u64) {
-        prop_assert!(first_at(spread, gateways, ordinal, seed) <= spread);
+        prop_assert!(staggered_start(spread, gateways, ordinal, seed) <= spread);
     }
 }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -4,7 +4,7 @@
 use crate::link::{Link, State, Turned};
 use crate::{Ms, REBUILT_WITHIN};
 use std::collections::VecDeque;
-use switchhill_recovery::{first_at, Backoff};
+use switchhill_recovery::{staggered_start, Backoff};
 
 /// Keys outlive their period by this many more.
 const LIVES: f64 = 4.0;
@@ -148,7 +148,7 @@
             link: Link::new(STATE_HOLDS * told.period, now),
             connection: Connection::None,
             awaited: VecDeque::new(),
-            try_at: now + first_at(SPREAD, told.gateways, told.ordinal, told.seed) as Ms,
+            try_at: now + staggered_start(SPREAD, told.gateways, told.ordinal, told.seed) as Ms,
             backoff: Backoff::new(TRY_AGAIN.0, TRY_AGAIN.1, told.seed),
             // Danger: two that count under one name would take each other's batches for their own.
             own: format!("{:016x}-{}-{:x}", told.seed, told.ordinal, now.max(0.0) as u64),
@@ -263,7 +263,7 @@
         self.connection = Connection::None;
         self.awaited.clear();
         self.address = (self.address + 1) % self.told.addresses.max(1);
-        self.try_at = now + self.backoff.failed() as Ms;
+        self.try_at = now + self.backoff.next_delay() as Ms;
         self.away = true;
         self.link.silent();
         act.push(Action::Failed);
@@ -425,7 +425,7 @@
             Some(number) if number < last => self.account.fenced(last),
             _ => self.account.not_executed(),
         }
-        self.backoff.succeeded();
+        self.backoff.reset();
         if std::mem::take(&mut self.away) {
             self.account.back();
         }
--- a/src/brain/standing.rs
+++ b/src/brain/standing.rs
@@ -3,7 +3,7 @@
 use super::{Brain, ClassState, Customer};
 use crate::interface::{Millis, Settings, SettingsError};
 use serde::{Deserialize, Serialize};
-use switchhill_recovery::Use;
+use switchhill_recovery::Reuse;
 
 /// What a brain has learnt, for one that goes on in its place. Classes and plans stand in the order of the
 /// settings it was learnt under; times are those of the clock that both are told.
@@ -35,28 +35,28 @@
 
 impl Learnt {
     /// Leaves of it what may be used; what is left may be the stricter for it, never the looser.
-    pub fn keep(&mut self, slices: Use, prices: Use, evidence: Use) {
+    pub fn keep(&mut self, slices: Reuse, prices: Reuse, evidence: Reuse) {
         match slices {
-            Use::Whole => {}
+            Reuse::Whole => {}
             // Danger: a share or a reading of before may be far from what the others use now. The floor and an empty
             // bucket's filling are all that is kept.
-            Use::AsBound => {
+            Reuse::AsBound => {
                 self.started = None;
                 for (_, customer) in &mut self.customers {
                     customer.share = customer.share.min(1.0 / customer.entry.max(1.0));
                     (customer.reading, customer.read_at) = (0.0, f64::NEG_INFINITY);
                 }
             }
-            Use::Not => {
+            Reuse::Not => {
                 self.started = None;
                 self.customers.clear();
             }
         }
-        if prices != Use::Whole {
+        if prices != Reuse::Whole {
             self.classes.clear();
             self.within.clear();
         }
-        if evidence != Use::Whole {
+        if evidence != Reuse::Whole {
             self.hosts.clear();
         }
     }
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Backend, BackendState};
 use crate::settings::positions;
 use serde::{Deserialize, Serialize};
-use switchhill_recovery::Use;
+use switchhill_recovery::Reuse;
 
 /// Customers that are handed over at the most. The state is held twice while it is written out; at some
 /// 300 bytes each these are 2.5 MB.
@@ -70,7 +70,7 @@
     }
 
     /// Leaves of what was learnt what may be used.
-    pub fn keep_learnt(&mut self, slices: Use, prices: Use, evidence: Use) {
+    pub fn keep_learnt(&mut self, slices: Reuse, prices: Reuse, evidence: Reuse) {
         self.learnt.keep(slices, prices, evidence);
     }
 }
--- a/src/net/agreement/keeper.rs
+++ b/src/net/agreement/keeper.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use switchhill_agreement::hosts::{compose, unmet, Hosts, Wishes};
 use switchhill_agreement::{digest, Action, Members, Ms, Register, Settings};
-use switchhill_recovery::first_at;
+use switchhill_recovery::staggered_start;
 
 /// The first words of gateways that start together are spread over this long.
 const SPREAD: Ms = 500;
@@ -47,7 +47,7 @@
 ) {
     let clock = || start.elapsed().as_millis() as Ms;
     let timeout = Duration::from_millis(settings.slowest_read_ms);
-    let link = Link::new(store, timeout, seed, first_at(SPREAD, number.0, number.1, seed));
+    let link = Link::new(store, timeout, seed, staggered_start(SPREAD, number.0, number.1, seed));
     let mut registers = [Register::new(settings, clock()), Register::new(settings, clock())];
     let mut wires = [
         Wire::over(link.clone(), prefix, REGISTERS[0], |_| true),
--- a/src/net/agreement/link.rs
+++ b/src/net/agreement/link.rs
@@ -34,7 +34,7 @@
         }
         let made = TcpStream::connect_timeout(&self.address, self.timeout);
         // Danger: every gateway would be back within one period of each other when a store returns.
-        self.try_at = Instant::now() + Duration::from_millis(self.backoff.failed());
+        self.try_at = Instant::now() + Duration::from_millis(self.backoff.next_delay());
         made.map_err(|e| e.to_string())
     }
 
@@ -49,7 +49,7 @@
         }
         let result = self.exchange(commands);
         if result.is_ok() {
-            self.backoff.succeeded();
+            self.backoff.reset();
         } else {
             // Danger: answers of a call given up could be read as those of the next one; the connection goes.
             self.socket = None;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -196,7 +196,7 @@
                 }
                 (self.discovery.rest, self.discovery.given_up) = (AGAIN, 0);
                 if let Some(returning) = &mut self.returning {
-                    returning.discovery.succeeded();
+                    returning.discovery.reset();
                 }
                 self.discovery.revision = Some(list.revision);
                 self.listed = true;
@@ -240,7 +240,7 @@
     fn discovery_again(&mut self) {
         self.discovery.turn += 1;
         let rest = match &mut self.returning {
-            Some(returning) if self.discovery.rest == AGAIN => returning.discovery.failed() as Millis,
+            Some(returning) if self.discovery.rest == AGAIN => returning.discovery.next_delay() as Millis,
             _ => self.discovery.rest,
         };
         self.timers.push(self.now + rest, Due::Discovery(self.discovery.turn));
--- a/src/net/recovery.rs
+++ b/src/net/recovery.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::thread::{self, JoinHandle};
 use switchhill_agreement::digest;
-use switchhill_recovery::{Ages, Backoff, Part, Phase, Return, Seen, Use};
+use switchhill_recovery::{Backoff, MaxAges, Observation, Phase, RecoveryProgress, Reuse, StatePart};
 
 /// How often the state is written.
 const EVERY: Millis = 2000.0;
@@ -23,7 +23,7 @@
     path: Option<PathBuf>,
     writer: Option<(SyncSender<Vec<u8>>, JoinHandle<()>)>,
     written: Millis,
-    back: Return,
+    back: RecoveryProgress,
     pressed: Option<Millis>,
     pub(super) discovery: Backoff,
     /// What came of the snapshot at the start: its age, or none.
@@ -61,7 +61,7 @@
             path: wanted.snapshot.clone(),
             writer,
             written: now,
-            back: Return::new(now as u64),
+            back: RecoveryProgress::new(now as u64),
             pressed: None,
             discovery: Backoff::new(ASKED_AGAIN.0, ASKED_AGAIN.1, config.seed),
             taken: None,
@@ -118,22 +118,23 @@
 
     /// Takes of a state what is good at its age; says what.
     fn use_state(&mut self, mut state: State, age: u64, same: bool) -> String {
-        let ages = Ages::default();
-        let how = |part| ages.judge(part, age, same);
-        if how(Part::List) != Use::Not && !self.listed && !state.list.is_empty() {
+        let ages = MaxAges::default();
+        let how = |part| ages.reuse(part, age, same);
+        if how(StatePart::List) != Reuse::Not && !self.listed && !state.list.is_empty() {
             let members = state.list.iter().map(super::handover::member).collect();
             self.knows_list(state.revision);
             let list = List { revision: state.revision.unwrap_or(0), complete: true, members };
             self.take_list(list, ListKind::Saved);
             self.settle();
         }
-        if how(Part::Cordons) == Use::Not {
+        if how(StatePart::Cordons) == Reuse::Not {
             state.drop_cordons();
         }
-        state.keep_learnt(how(Part::Slices), how(Part::Prices), how(Part::Evidence));
+        state.keep_learnt(how(StatePart::Slices), how(StatePart::Prices), how(StatePart::Evidence));
         let names = self.told.class_names();
         self.core.go_on(state, &names, &self.told.plans);
-        let parts = [Part::Cordons, Part::List, Part::Slices, Part::Prices, Part::Evidence];
+        let parts =
+            [StatePart::Cordons, StatePart::List, StatePart::Slices, StatePart::Prices, StatePart::Evidence];
         let said = parts.map(|part| format!("{part:?}: {:?}", how(part)));
         said.join(", ")
     }
@@ -143,11 +144,11 @@
         let Some(returning) = &self.returning else { return };
         // Each phase is reached once: after the last one nothing is looked at any more, hosts least of all.
         if returning.back.phase() != Phase::FullService {
-            let seen = Seen {
-                store: self.account.as_ref().is_none_or(super::store::Account::is_reached),
-                versions: self.knows_rules(),
-                warm: self.knows_enough() && self.core.none_is_cold(),
-                pressed_at: returning.pressed.map(|at| at as u64),
+            let seen = Observation {
+                store_reached: self.account.as_ref().is_none_or(super::store::Account::is_reached),
+                versions_agreed: self.knows_rules(),
+                hosts_warm: self.knows_enough() && self.core.none_is_cold(),
+                last_refused_at: returning.pressed.map(|at| at as u64),
             };
             self.observe_return(seen);
         }
@@ -159,7 +160,7 @@
         }
     }
 
-    fn observe_return(&mut self, seen: Seen) {
+    fn observe_return(&mut self, seen: Observation) {
         let now = self.now as u64;
         let Some(returning) = &mut self.returning else { return };
         for (phase, after_ms) in returning.back.observe(now, seen) {
