--- a/src/net/downstream.rs
+++ b/src/net/downstream.rs
@@ -220,7 +220,7 @@
                 } else {
                     counters.turned_away_memory += 1;
                 }
-                let answer = self.short_of_room(Downstream::Http1(token), &message);
+                let answer = self.refuse_low_resources(Downstream::Http1(token), &message);
                 self.turned_away(&message, Ending::Busy);
                 down.push(&answer, down.surplus || self.is_leaving() || coming);
             } else {
--- a/src/net/http2_down.rs
+++ b/src/net/http2_down.rs
@@ -162,7 +162,7 @@
                         let _ = body.flow_control().release_capacity(data.len());
                         if self.holds_too_much() {
                             self.held_bytes -= message.body.len();
-                            let answer = self.short_of_room(Downstream::Http2(token, key), &message);
+                            let answer = self.refuse_low_resources(Downstream::Http2(token, key), &message);
                             self.turned_away(&message, Ending::Busy);
                             return say(&mut respond, &answer, slot, self.now);
                         }
@@ -214,7 +214,7 @@
             Some(answer) => answer,
             None if self.holds_too_much() => {
                 self.turned_away(&message, Ending::Busy);
-                self.short_of_room(Downstream::Http2(token, key), &message)
+                self.refuse_low_resources(Downstream::Http2(token, key), &message)
             }
             None => match self.stream_arrived(Downstream::Http2(token, key), message) {
                 Ok(stream) => {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -39,7 +39,7 @@
 use crate::settings::Told;
 use control::{Caller, Control};
 use discovery::Discovery;
-use door::AtDoor;
+use door::StreamAdmission;
 use downstream::Down;
 use h2io::Woken;
 use handover::Beside;
@@ -165,7 +165,7 @@
     discovery: Discovery,
     hosts: BTreeMap<BackendId, Host>,
     account: Option<Account>,
-    door: Option<AtDoor>,
+    door: Option<StreamAdmission>,
     agreement: Option<agreement::Agreement>,
     returning: Option<recovery::Returning>,
     reuse: upstream::Reuse,
@@ -230,7 +230,7 @@
         let (most_downstreams, most_upstreams) = shares(config.sockets, config.control.is_some());
         let most_held = config.memory / HELD_SHARE;
         let door = config.operator.door.as_ref();
-        let door = door.map(|door| AtDoor::new(door, &told, config.memory, most_held));
+        let door = door.map(|door| StreamAdmission::new(door, &told, config.memory, most_held));
         let mut gateway = Self {
             core,
             told,
--- a/src/net/readiness.rs
+++ b/src/net/readiness.rs
@@ -1,6 +1,6 @@
 //! Whether the gateway takes clients, what it tells of itself, and its end.
 
-use super::door::AtDoor;
+use super::door::StreamAdmission;
 use super::message::{Answer, Message};
 use super::store::Account;
 use super::streams::local;
@@ -81,7 +81,7 @@
     /// The counters as operators read them, with what the log had to drop.
     pub(super) fn told_counters(&self) -> String {
         let dropped = self.logs.as_ref().map_or(0, Logs::dropped);
-        let door = self.door.as_ref().map_or(String::new(), AtDoor::figures);
+        let door = self.door.as_ref().map_or(String::new(), StreamAdmission::metrics_text);
         let number = self.told_number();
         let agreed =
             self.agreement.as_ref().map_or(String::new(), |at| at.figures(number, self.core.called_out()));
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -39,7 +39,7 @@
             logs.change(&config.operator.log);
         }
         if let (Some(at), Some(door)) = (&mut self.door, config.operator.door) {
-            at.use_keys(door.keys);
+            at.set_ticket_keys(door.keys);
         }
         self.text = config.text;
         self.move_discovery(config.discovery, moved_zones);
--- a/src/net/rounds.rs
+++ b/src/net/rounds.rs
@@ -1,7 +1,7 @@
 //! The loop: each round gathers what is ready, hands it to the core in one go, and carries out what came back.
 
 use super::agreement;
-use super::door::{self, AtDoor};
+use super::door::{self, StreamAdmission};
 use super::readiness::ACCEPT_ON;
 use super::streams::{local, refusal};
 use super::{Conn, Due, Gateway, SWEEP};
@@ -22,8 +22,11 @@
         let mut commands = Vec::new();
         self.take_snapshot();
         while !self.finished() {
-            let due =
-                [self.core.next_due(), self.timers.next_due(), self.door.as_ref().and_then(AtDoor::next_due)];
+            let due = [
+                self.core.next_due(),
+                self.timers.next_due(),
+                self.door.as_ref().and_then(StreamAdmission::next_poll_at),
+            ];
             let due = due.into_iter().flatten().fold(f64::INFINITY, f64::min);
             let agreed = self.agreement.as_ref().and_then(agreement::Agreement::due_in);
             let wait = (due - self.clock.now()).min(agreed.map_or(SWEEP, |ms| ms as f64)).clamp(0.0, SWEEP);
@@ -48,7 +51,7 @@
             if self.beside.waits() {
                 self.sweep_beside();
             }
-            self.door_round();
+            self.poll_admission();
             self.core.advance(self.now, &mut self.inputs, &mut commands);
             for command in commands.drain(..) {
                 self.carry_out(command);
@@ -153,7 +156,7 @@
             Command::Send(id, host, wait) => self.send(id, &host, wait),
             Command::Stop(id, timed_out) => self.stop(id, timed_out),
             Command::Deliver((stream, _)) => {
-                self.told_door(stream, Outcome::Success);
+                self.report_outcome(stream, Outcome::Success);
                 let Some(exchange) = self.take_exchange(stream) else { return };
                 match exchange.answer {
                     Some((_, answer)) => self.answer(exchange.downstream, exchange.deadline, answer),
@@ -164,16 +167,17 @@
                 if let Some(returning) = &mut self.returning {
                     returning.turned_away(self.now, why);
                 }
-                let at_door = self.door.as_mut().and_then(|at| at.refused_behind(self.now, stream, why));
+                let appointment =
+                    self.door.as_mut().and_then(|at| at.refuse_after_dispatch(self.now, stream, why));
                 let Some(exchange) = self.drop_exchange(stream) else { return };
-                let answer = match at_door {
-                    Some(appointment) => door::told(&appointment, exchange.downstream),
+                let answer = match appointment {
+                    Some(appointment) => door::refusal_answer(&appointment, exchange.downstream),
                     None => refusal(hold_off, exchange.downstream),
                 };
                 self.answer(exchange.downstream, exchange.deadline, answer);
             }
             Command::Fail(stream, late) => {
-                self.told_door(stream, if late { Outcome::Dropped } else { Outcome::Ignored });
+                self.report_outcome(stream, if late { Outcome::Dropped } else { Outcome::Ignored });
                 let Some(exchange) = self.drop_exchange(stream) else { return };
                 let answer = local(if late { 504 } else { 502 }, b"");
                 self.answer(exchange.downstream, exchange.deadline, answer);
--- a/src/net/streams.rs
+++ b/src/net/streams.rs
@@ -11,9 +11,9 @@
 pub(super) const SCARCE_HOLD_OFF: Millis = 500.0;
 
 impl Gateway {
-    pub(super) fn told_door(&mut self, stream: StreamId, how: Outcome) {
+    pub(super) fn report_outcome(&mut self, stream: StreamId, how: Outcome) {
         if let Some(at) = &mut self.door {
-            at.ended(self.now, stream, how);
+            at.on_completion(self.now, stream, how);
         }
     }
 
@@ -37,7 +37,7 @@
         }
         self.held_bytes -= exchange.message.size();
         if let Some(at) = &mut self.door {
-            at.gone(self.now, stream);
+            at.on_exchange_closed(self.now, stream);
         }
         Some(exchange)
     }
@@ -76,7 +76,7 @@
         let passing = message.coming.map(|_| relay::Passing::default());
         self.exchanges
             .insert(id, Exchange { downstream, message, answer: None, deadline, once, wait, passing });
-        self.at_door(id, terms);
+        self.submit_to_admission(id, terms);
         Ok(id)
     }
 
