--- a/crates/door/src/active.rs
+++ b/crates/door/src/active_weight.rs
@@ -1,8 +1,8 @@
 //! Who wants something of late: the weight of all subscribers that came in the last seconds, by linear counting
 //! (Whang, Vander-Zanden, Taylor 1990) over two windows that take turns.
 
-use crate::bits::Bits;
-use crate::tags::Flow;
+use crate::bitmap::Bits;
+use crate::finish_tags::Flow;
 use crate::Millis;
 
 /// Shares are compared over about this long: a subscriber counts as active until a window without it is over.
--- a/crates/door/src/door.rs
+++ b/crates/door/src/admission_queue.rs
@@ -2,19 +2,19 @@
 
 mod appointments;
 mod arrivals;
-mod handing_on;
-mod pace;
+mod dispatch;
+mod throughput;
 
-use crate::active::Active;
-use crate::book::{Book, Told};
-use crate::busiest::{Busiest, HeavyHitter};
-use crate::figures::Counters;
-use crate::limit::Limit;
+use crate::active_weight::Active;
+use crate::concurrency_limit::Limit;
+use crate::counters::Counters;
+use crate::finish_tags::Tags;
+use crate::heavy_hitters::{Busiest, HeavyHitter};
 use crate::message::Action;
 use crate::queue::{self, Queue};
 use crate::rate::{Rate, Window};
+use crate::reservations::{Book, Told};
 use crate::settings::Settings;
-use crate::tags::Tags;
 use crate::ticket::{TicketKeys, Used};
 use crate::Millis;
 use hdrhistogram::Histogram;
--- a/crates/door/src/door/appointments.rs
+++ b/crates/door/src/admission_queue/appointments.rs
@@ -1,12 +1,12 @@
 //! Appointments: given to those refused, kept by those who come back.
 
-use super::pace::SOONEST;
+use super::throughput::SOONEST;
 use super::AdmissionQueue;
-use crate::book;
-use crate::client::{Cause, Client};
+use crate::finish_tags::Flow;
 use crate::message::{Arrival, Refusal};
 use crate::queue::HORIZON;
-use crate::tags::Flow;
+use crate::refused_client::{Cause, Client};
+use crate::reservations;
 use crate::ticket::{Ticket, Void};
 use crate::Millis;
 
@@ -51,7 +51,7 @@
             return Err(Void::Foreign);
         }
         let due = ticket.due as f64;
-        if !book::in_time(now, due, self.set.appointment_grace) {
+        if !reservations::in_time(now, due, self.set.appointment_grace) {
             return Err(Void::Untimely);
         }
         self.used.note(now, ticket.number)?;
--- a/crates/door/src/door/arrivals.rs
+++ b/crates/door/src/admission_queue/arrivals.rs
@@ -1,10 +1,10 @@
 //! Streams that arrive: passed at once, held, or refused.
 
-use super::pace::TURN;
+use super::throughput::TURN;
 use super::AdmissionQueue;
-use crate::client::{Cause, Client};
 use crate::message::{Action, Admission, Arrival};
 use crate::queue::{Held, HORIZON};
+use crate::refused_client::{Cause, Client};
 use crate::Millis;
 
 /// Streams count as pressed for this long after the last was held: what passes is charged to its subscriber.
--- a/crates/door/src/door/handing_on.rs
+++ b/crates/door/src/admission_queue/dispatch.rs
@@ -1,12 +1,12 @@
 //! What is handed on, what is held, and how both end.
 
 use super::arrivals::PRESSED_FOR;
-use super::pace::TURN;
+use super::throughput::TURN;
 use super::AdmissionQueue;
-use crate::client::Cause;
-use crate::limit::Outcome;
+use crate::concurrency_limit::Outcome;
 use crate::message::Action;
 use crate::queue::Held;
+use crate::refused_client::Cause;
 use crate::Millis;
 
 /// Weight of one stream in the time in flight.
--- a/crates/door/src/door/pace.rs
+++ b/crates/door/src/admission_queue/throughput.rs
@@ -1,8 +1,8 @@
 //! How fast streams can be handed on, and virtual time.
 
 use super::AdmissionQueue;
+use crate::finish_tags::Flow;
 use crate::rate::Window;
-use crate::tags::Flow;
 use crate::Millis;
 
 /// Rates are measured over windows of this length.
--- a/crates/door/src/lib.rs
+++ b/crates/door/src/lib.rs
@@ -15,25 +15,25 @@
 //! assert_eq!(door.on_arrival(1.0, &arrival), Admission::Admitted);
 //! door.on_completion(9.0, 0, 8.0, Outcome::Success);
 //! ```
-mod active;
-mod bits;
-mod book;
-mod busiest;
-mod client;
-mod door;
-mod figures;
-mod limit;
+mod active_weight;
+mod admission_queue;
+mod bitmap;
+mod concurrency_limit;
+mod counters;
+mod finish_tags;
+mod heavy_hitters;
 mod message;
 mod queue;
 mod rate;
+mod refused_client;
+mod reservations;
 mod settings;
-mod tags;
 mod ticket;
 
-pub use busiest::HeavyHitter;
-pub use door::AdmissionQueue;
-pub use figures::Counters;
-pub use limit::Outcome;
+pub use admission_queue::AdmissionQueue;
+pub use concurrency_limit::Outcome;
+pub use counters::Counters;
+pub use heavy_hitters::HeavyHitter;
 pub use message::{Action, Admission, Arrival, Refusal};
 pub use settings::Settings;
 pub use ticket::{TicketKeys, TICKET_LEN};
--- a/crates/door/src/queue.rs
+++ b/crates/door/src/queue.rs
@@ -4,7 +4,7 @@
 //! first and the last bucket that is not empty (the calendar queue of Brown, CACM 1988, without sorting inside a
 //! bucket). A second ring over real time finds what has waited too long. Nodes lie in one slab made at the start.
 
-use crate::bits::Bits;
+use crate::bitmap::Bits;
 use crate::Millis;
 use std::collections::HashMap;
 
--- a/crates/door/src/book.rs
+++ b/crates/door/src/reservations.rs
@@ -4,8 +4,8 @@
 //! asked for, and the places of a slot are spread evenly over it, so that a neighbourhood refused in one second
 //! comes back as a stream and not as a crowd.
 
-use crate::bits::Bits;
-use crate::tags::Flow;
+use crate::bitmap::Bits;
+use crate::finish_tags::Flow;
 use crate::Millis;
 
 /// The length of a slot.
