--- a/crates/door/benches/door.rs
+++ b/crates/door/benches/door.rs
@@ -21,21 +21,21 @@
 /// In and out while there is room: what every stream pays on a calm day.
 #[divan::bench]
 fn uncontended(bencher: Bencher) {
-    let mut door = AdmissionQueue::new(Settings::default());
+    let mut queue = AdmissionQueue::new(Settings::default());
     let mut now = 1e12;
     let mut stream = 0;
     bencher.bench_local(|| {
         stream += 1;
         now += 0.1;
-        black_box(door.on_arrival(now, &arrival(stream, stream)));
-        door.on_completion(now, 0, 5.0, Outcome::Success);
+        black_box(queue.on_arrival(now, &arrival(stream, stream)));
+        queue.on_completion(now, 0, 5.0, Outcome::Success);
     });
 }
 
 /// One stream in and one out, with so many subscribers waiting, one stream each.
 #[divan::bench(args = [100, 10_000, 50_000])]
 fn queued(bencher: Bencher, flows: u64) {
-    let mut door = AdmissionQueue::new(Settings {
+    let mut queue = AdmissionQueue::new(Settings {
         memory: 64 << 20,
         max_queued_bytes: usize::MAX,
         max_queue_time: 8000.0,
@@ -44,19 +44,19 @@
     });
     let now = 1e12;
     // A rate that lets so many client_timeout: measured as streams pass.
-    door.on_arrival(now, &arrival(0, 0));
+    queue.on_arrival(now, &arrival(0, 0));
     let mut stream = 0;
     let mut actions = Vec::new();
     let mut step = 0.0;
-    while (door.queued() as u64) < flows {
+    while (queue.queued() as u64) < flows {
         stream += 1;
-        if door.on_arrival(now + step, &arrival(stream, stream % (2 * flows))) != Admission::Queued
+        if queue.on_arrival(now + step, &arrival(stream, stream % (2 * flows))) != Admission::Queued
             || stream % 64 == 0
         {
             step += 0.001;
             for _ in 0..8 {
-                door.on_completion(now + step, 0, 0.001, Outcome::Success);
-                door.poll(now + step, &mut actions);
+                queue.on_completion(now + step, 0, 0.001, Outcome::Success);
+                queue.poll(now + step, &mut actions);
                 actions.clear();
             }
         }
@@ -64,9 +64,9 @@
     let now = now + step;
     bencher.bench_local(|| {
         stream += 1;
-        black_box(door.on_arrival(now, &arrival(stream, stream % (2 * flows))));
-        door.on_completion(now, 0, 1.0, Outcome::Ignored);
-        door.poll(now, &mut actions);
+        black_box(queue.on_arrival(now, &arrival(stream, stream % (2 * flows))));
+        queue.on_completion(now, 0, 1.0, Outcome::Ignored);
+        queue.poll(now, &mut actions);
         debug_assert!(actions.iter().all(|action| matches!(action, Action::Dispatch(..))));
         actions.clear();
     });
@@ -75,13 +75,13 @@
 /// An arrival that is refused with an appointment.
 #[divan::bench]
 fn refused(bencher: Bencher) {
-    let mut door = AdmissionQueue::new(Settings { limit: (1.0, 1.0, 1.0), ..Settings::default() });
+    let mut queue = AdmissionQueue::new(Settings { limit: (1.0, 1.0, 1.0), ..Settings::default() });
     let mut now = 1e12;
-    door.on_arrival(now, &arrival(0, 0));
+    queue.on_arrival(now, &arrival(0, 0));
     let mut stream = 0;
     bencher.bench_local(|| {
         stream += 1;
         now += 0.1;
-        black_box(door.on_arrival(now, &Arrival { resources_low: true, ..arrival(stream, stream) }));
+        black_box(queue.on_arrival(now, &Arrival { resources_low: true, ..arrival(stream, stream) }));
     });
 }
--- a/crates/door/src/admission_queue.rs
+++ b/crates/door/src/admission_queue.rs
@@ -5,59 +5,59 @@
 mod dispatch;
 mod throughput;
 
-use crate::active_weight::Active;
-use crate::concurrency_limit::Limit;
+use crate::active_weight::ActiveWeight;
+use crate::concurrency_limit::ConcurrencyLimit;
 use crate::counters::Counters;
-use crate::finish_tags::Tags;
-use crate::heavy_hitters::{Busiest, HeavyHitter};
+use crate::finish_tags::FinishTags;
+use crate::heavy_hitters::{HeavyHitter, HeavyHitters};
 use crate::message::Action;
 use crate::queue::{self, Queue};
-use crate::rate::{Rate, Window};
-use crate::reservations::{Book, Told};
+use crate::rate::{RateWindow, SmoothedRate};
+use crate::reservations::{PendingAppointments, SlotTable};
 use crate::settings::Settings;
-use crate::ticket::{TicketKeys, Used};
+use crate::ticket::{ReplayCache, TicketKeys};
 use crate::Millis;
 use hdrhistogram::Histogram;
 
 /// Memory for one stream that can be held: its node and its cells in the sketch, rounded up.
-const BYTES_EACH: usize = 768;
+const BYTES_PER_STREAM: usize = 768;
 /// Subscribers whose counts are kept.
-const BUSIEST: usize = 32;
+const HEAVY_HITTER_COUNT: usize = 32;
 /// The longest time that a histogram tells apart, in tenths of a millisecond.
-const LONGEST_TOLD: u64 = 600_000;
+const MAX_SOJOURN_TENTHS_MS: u64 = 600_000;
 
 /// The door.
 #[derive(Debug)]
 pub struct AdmissionQueue {
-    set: Settings,
+    settings: Settings,
     /// Virtual cost of one unit by plan: 1 for the lightest.
-    costs: Vec<f64>,
-    tags: Tags,
+    unit_costs: Vec<f64>,
+    tags: FinishTags,
     /// The same for what is booked and not yet kept.
-    booked: Tags,
+    booked_tags: FinishTags,
     queue: Queue,
-    limit: Limit,
-    book: Book,
-    told: Told,
-    used: Used,
+    limit: ConcurrencyLimit,
+    slot_table: SlotTable,
+    pending_appointments: PendingAppointments,
+    replay_cache: ReplayCache,
     keys: TicketKeys,
-    busiest: Busiest,
+    heavy_hitters: HeavyHitters,
     sojourn: Vec<Histogram<u32>>,
-    figures: Counters,
+    counters: Counters,
     /// Streams handed on and not ended.
-    open: usize,
+    in_flight: usize,
     virtual_time: f64,
-    active: Active,
-    pressed_until: Millis,
-    window: Window,
-    rate: Rate,
-    rounds: Rate,
+    active_weight: ActiveWeight,
+    contended_until: Millis,
+    window: RateWindow,
+    rate: SmoothedRate,
+    virtual_time_rate: SmoothedRate,
     /// Time in flight, smoothed.
-    flight: Rate,
-    turn: u32,
-    numbers: u64,
+    service_time: SmoothedRate,
+    interval_position: u32,
+    refusal_count: u64,
     /// What was pushed out since the last poll.
-    pushed: Vec<Action>,
+    evicted: Vec<Action>,
 }
 
 impl AdmissionQueue {
@@ -66,46 +66,54 @@
     /// # Panics
     /// When a setting is out of the range its field states.
     #[must_use]
-    pub fn new(set: Settings) -> Self {
-        assert!(set.memory >= 64 << 10, "a door takes 64 KiB at the least");
+    pub fn new(settings: Settings) -> Self {
+        assert!(settings.memory >= 64 << 10, "memory must be at least 64 KiB");
         assert!(
-            !set.plan_weights.is_empty() && set.plan_weights.iter().all(|w| w.is_finite() && *w > 0.0),
-            "weights"
+            !settings.plan_weights.is_empty()
+                && settings.plan_weights.iter().all(|w| w.is_finite() && *w > 0.0),
+            "plan_weights must be finite and above 0"
         );
-        assert!((1.0..=queue::LONGEST).contains(&set.max_queue_time), "max_queue_time");
-        assert!(set.appointment_share > 0.0 && set.appointment_share <= 1.0, "appointment_share");
-        let lightest = set.plan_weights.iter().copied().fold(f64::INFINITY, f64::min);
-        let most_held = (set.memory * 5 / 8 / BYTES_EACH).clamp(16, 1 << 16);
-        let appointments = set.memory / 8 / 24;
-        let uses = set.memory / 8 / 16;
-        let life = set.max_retry_after + 2.0 * set.appointment_grace;
-        let histogram = || Histogram::new_with_bounds(1, LONGEST_TOLD, 2).expect("sound bounds");
-        let (start, least, most) = set.limit;
+        assert!(
+            (1.0..=queue::MAX_QUEUE_TIME).contains(&settings.max_queue_time),
+            "max_queue_time is out of range"
+        );
+        assert!(
+            settings.appointment_share > 0.0 && settings.appointment_share <= 1.0,
+            "appointment_share is out of range"
+        );
+        let lightest = settings.plan_weights.iter().copied().fold(f64::INFINITY, f64::min);
+        let max_queued = (settings.memory * 5 / 8 / BYTES_PER_STREAM).clamp(16, 1 << 16);
+        let appointment_entries = settings.memory / 8 / 24;
+        let replay_entries = settings.memory / 8 / 16;
+        let ticket_lifetime = settings.max_retry_after + 2.0 * settings.appointment_grace;
+        let histogram =
+            || Histogram::new_with_bounds(1, MAX_SOJOURN_TENTHS_MS, 2).expect("valid histogram bounds");
+        let (start, min, max) = settings.limit;
         Self {
-            costs: set.plan_weights.iter().map(|weight| lightest / weight).collect(),
-            tags: Tags::new(set.hash_key, most_held),
-            booked: Tags::new(set.hash_key, 2 * most_held),
-            queue: Queue::new(most_held),
-            limit: Limit::new(set.class_count, start, least, most),
-            book: Book::new(set.max_retry_after),
-            told: Told::new(appointments, set.appointment_grace),
-            used: Used::new(uses, life),
+            unit_costs: settings.plan_weights.iter().map(|weight| lightest / weight).collect(),
+            tags: FinishTags::new(settings.hash_key, max_queued),
+            booked_tags: FinishTags::new(settings.hash_key, 2 * max_queued),
+            queue: Queue::new(max_queued),
+            limit: ConcurrencyLimit::new(settings.class_count, start, min, max),
+            slot_table: SlotTable::new(settings.max_retry_after),
+            pending_appointments: PendingAppointments::new(appointment_entries, settings.appointment_grace),
+            replay_cache: ReplayCache::new(replay_entries, ticket_lifetime),
             keys: TicketKeys::default(),
-            busiest: Busiest::new(BUSIEST),
-            sojourn: set.plan_weights.iter().map(|_| histogram()).collect(),
-            figures: Counters::default(),
-            open: 0,
+            heavy_hitters: HeavyHitters::new(HEAVY_HITTER_COUNT),
+            sojourn: settings.plan_weights.iter().map(|_| histogram()).collect(),
+            counters: Counters::default(),
+            in_flight: 0,
             virtual_time: 0.0,
-            active: Active::new(4 * most_held),
-            pressed_until: 0.0,
-            window: Window::default(),
-            rate: Rate::default(),
-            rounds: Rate::default(),
-            flight: Rate::default(),
-            turn: 0,
-            numbers: 0,
-            pushed: Vec::new(),
-            set,
+            active_weight: ActiveWeight::new(4 * max_queued),
+            contended_until: 0.0,
+            window: RateWindow::default(),
+            rate: SmoothedRate::default(),
+            virtual_time_rate: SmoothedRate::default(),
+            service_time: SmoothedRate::default(),
+            interval_position: 0,
+            refusal_count: 0,
+            evicted: Vec::new(),
+            settings,
         }
     }
 
@@ -117,7 +125,7 @@
     /// What has been counted.
     #[must_use]
     pub fn counters(&self) -> &Counters {
-        &self.figures
+        &self.counters
     }
 
     /// Streams that are held now.
@@ -129,7 +137,7 @@
     /// Streams handed on and not ended, and how many may be.
     #[must_use]
     pub fn concurrency(&self) -> (usize, f64) {
-        (self.open, self.limit.value())
+        (self.in_flight, self.limit.value())
     }
 
     /// How long streams of each plan were held, in tenths of a millisecond; those that passed at once count 0.
@@ -141,7 +149,7 @@
     /// The busiest subscribers while streams were held, the busiest first.
     #[must_use]
     pub fn heavy_hitters(&self) -> Vec<HeavyHitter> {
-        self.busiest.entries()
+        self.heavy_hitters.entries()
     }
 
     /// Bytes taken at the start.
@@ -149,12 +157,12 @@
     pub fn memory_bytes(&self) -> usize {
         let histograms: usize = self.sojourn.iter().map(|h| h.distinct_values() * 4).sum();
         self.tags.bytes()
-            + self.booked.bytes()
-            + self.active.bytes()
+            + self.booked_tags.bytes()
+            + self.active_weight.bytes()
             + self.queue.memory()
-            + self.book.memory()
-            + self.told.memory()
-            + self.used.memory()
+            + self.slot_table.memory()
+            + self.pending_appointments.memory()
+            + self.replay_cache.memory()
             + histograms
     }
 }
--- a/crates/door/src/bitmap.rs
+++ b/crates/door/src/bitmap.rs
@@ -2,33 +2,33 @@
 
 /// The bits.
 #[derive(Debug)]
-pub(crate) struct Bits(Box<[u64]>);
+pub(crate) struct Bitmap(Box<[u64]>);
 
-impl Bits {
+impl Bitmap {
     /// `count` bits, rounded up to whole words, all alike.
-    pub(crate) fn new(count: usize, all: bool) -> Self {
-        Self(vec![if all { u64::MAX } else { 0 }; count.div_ceil(64)].into())
+    pub(crate) fn new(count: usize, value: bool) -> Self {
+        Self(vec![if value { u64::MAX } else { 0 }; count.div_ceil(64)].into())
     }
 
-    pub(crate) fn fill(&mut self, all: bool) {
-        self.0.fill(if all { u64::MAX } else { 0 });
+    pub(crate) fn fill(&mut self, value: bool) {
+        self.0.fill(if value { u64::MAX } else { 0 });
     }
 
-    pub(crate) fn has(&self, at: usize) -> bool {
-        self.0[at / 64] & 1 << (at % 64) != 0
+    pub(crate) fn contains(&self, index: usize) -> bool {
+        self.0[index / 64] & 1 << (index % 64) != 0
     }
 
-    pub(crate) fn set(&mut self, at: usize, on: bool) {
-        let bit = 1 << (at % 64);
-        if on {
-            self.0[at / 64] |= bit;
+    pub(crate) fn set(&mut self, index: usize, value: bool) {
+        let bit = 1 << (index % 64);
+        if value {
+            self.0[index / 64] |= bit;
         } else {
-            self.0[at / 64] &= !bit;
+            self.0[index / 64] &= !bit;
         }
     }
 
     /// The first that is set at or after `from` and before `to`.
-    pub(crate) fn first(&self, from: usize, to: usize) -> Option<usize> {
+    pub(crate) fn first_set(&self, from: usize, to: usize) -> Option<usize> {
         let mut word = from / 64;
         let mut bits = self.0.get(word)? & (u64::MAX << (from % 64));
         loop {
@@ -45,7 +45,7 @@
     }
 
     /// The last that is set before `to` and at or after `from`.
-    pub(crate) fn last(&self, from: usize, to: usize) -> Option<usize> {
+    pub(crate) fn last_set(&self, from: usize, to: usize) -> Option<usize> {
         let end = to.checked_sub(1)?;
         let mut word = end / 64;
         let mut bits = self.0[word] & (u64::MAX >> (63 - end % 64));
--- a/crates/door/src/concurrency_limit.rs
+++ b/crates/door/src/concurrency_limit.rs
@@ -8,22 +8,22 @@
 use crate::Millis;
 
 /// A window is over after this long and this many ends, or after the longer time with any.
-const WINDOW: Millis = 100.0;
-const WINDOW_ENDS: u32 = 20;
-const WINDOW_LONGEST: Millis = 500.0;
+const WINDOW_LEN: Millis = 100.0;
+const WINDOW_COMPLETIONS: u32 = 20;
+const WINDOW_MAX_LEN: Millis = 500.0;
 /// Time in flight may be this multiple of the unloaded time before the limit falls: what keeps the fleet busy
 /// between two of the loop's rounds.
-const TOLERANCE: f64 = 1.5;
+const LATENCY_TOLERANCE: f64 = 1.5;
 /// A share of ends without room above which the limit falls.
-const BEARABLE: f64 = 0.02;
+const TOLERATED_DROP_SHARE: f64 = 0.02;
 /// The unloaded time is the lowest of two such spans.
-const SPAN: Millis = 15_000.0;
+const BASELINE_PERIOD: Millis = 15_000.0;
 /// At a span's end the limit steps back for so many windows, to this share of what the fleet seems to hold
 /// without a line.
-const STEP_BACK: f64 = 0.7;
-const STEP_WINDOWS: u32 = 3;
+const PROBE_FACTOR: f64 = 0.7;
+const PROBE_WINDOWS: u32 = 3;
 /// Ends of a class that make a mean.
-const ENOUGH: u32 = 5;
+const MIN_SAMPLES: u32 = 5;
 
 /// How a stream that was handed on has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,15 +39,15 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Class {
     sum: Millis,
-    ends: u32,
+    samples: u32,
     /// The lowest mean of this span and of the one before; 0 for none.
     lowest: Millis,
-    before: Millis,
+    previous_lowest: Millis,
 }
 
 impl Class {
     fn unloaded(&self) -> Millis {
-        match (self.lowest, self.before) {
+        match (self.lowest, self.previous_lowest) {
             (0.0, other) | (other, 0.0) => other,
             (one, other) => one.min(other),
         }
@@ -56,37 +56,37 @@
 
 /// The limit.
 #[derive(Debug)]
-pub(crate) struct Limit {
+pub(crate) struct ConcurrencyLimit {
     limit: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
     /// Doubling until the first sign of pressure.
-    starting: bool,
+    slow_start: bool,
     classes: Box<[Class]>,
-    since: Millis,
-    span: Millis,
-    ends: u32,
-    pressed: u32,
-    used: f64,
-    stepped: u32,
-    restore: f64,
+    window_start: Millis,
+    period_start: Millis,
+    completions: u32,
+    drops: u32,
+    peak_in_flight: f64,
+    probe_windows_left: u32,
+    limit_before_probe: f64,
 }
 
-impl Limit {
-    pub(crate) fn new(classes: usize, start: f64, least: f64, most: f64) -> Self {
+impl ConcurrencyLimit {
+    pub(crate) fn new(classes: usize, start: f64, min: f64, max: f64) -> Self {
         Self {
-            limit: start.clamp(least, most),
-            least,
-            most,
-            starting: true,
+            limit: start.clamp(min, max),
+            min,
+            max,
+            slow_start: true,
             classes: vec![Class::default(); classes].into(),
-            since: 0.0,
-            span: 0.0,
-            ends: 0,
-            pressed: 0,
-            used: 0.0,
-            stepped: 0,
-            restore: 0.0,
+            window_start: 0.0,
+            period_start: 0.0,
+            completions: 0,
+            drops: 0,
+            peak_in_flight: 0.0,
+            probe_windows_left: 0,
+            limit_before_probe: 0.0,
         }
     }
 
@@ -95,48 +95,48 @@
     }
 
     /// Whether `open` leaves room for one more.
-    pub(crate) fn has_room(&self, open: usize) -> bool {
-        (open as f64) < self.limit
+    pub(crate) fn has_room(&self, in_flight: usize) -> bool {
+        (in_flight as f64) < self.limit
     }
 
     /// So many are in flight now.
-    pub(crate) fn in_use(&mut self, open: usize) {
-        self.used = self.used.max(open as f64);
+    pub(crate) fn on_dispatch(&mut self, in_flight: usize) {
+        self.peak_in_flight = self.peak_in_flight.max(in_flight as f64);
     }
 
-    pub(crate) fn ended(&mut self, now: Millis, class: usize, took: Millis, how: Outcome) {
-        self.ends += 1;
-        match how {
+    pub(crate) fn on_completion(&mut self, now: Millis, class: usize, took: Millis, outcome: Outcome) {
+        self.completions += 1;
+        match outcome {
             Outcome::Success => {
                 if let Some(class) = self.classes.get_mut(class) {
                     class.sum += took;
-                    class.ends += 1;
+                    class.samples += 1;
                 }
             }
-            Outcome::Dropped => self.pressed += 1,
+            Outcome::Dropped => self.drops += 1,
             Outcome::Ignored => {}
         }
-        let age = now - self.since;
-        if (age >= WINDOW && self.ends >= WINDOW_ENDS) || age >= WINDOW_LONGEST {
-            self.window_over(now);
+        let age = now - self.window_start;
+        if (age >= WINDOW_LEN && self.completions >= WINDOW_COMPLETIONS) || age >= WINDOW_MAX_LEN {
+            self.close_window(now);
         }
     }
 
     /// The unloaded time over that of this window, 1 where nothing is known, weighed by ends.
-    fn gradient(&mut self) -> f64 {
+    fn unloaded_ratio(&mut self) -> f64 {
         let (mut sum, mut weight) = (0.0, 0.0);
         for class in &mut self.classes {
-            if class.ends < ENOUGH {
+            if class.samples < MIN_SAMPLES {
                 continue;
             }
-            let ends = f64::from(class.ends);
-            let mean = class.sum / ends;
+            let samples = f64::from(class.samples);
+            let mean = class.sum / samples;
             if class.lowest == 0.0 || mean < class.lowest {
                 class.lowest = mean;
             }
-            sum += ends * (class.unloaded() / mean.max(0.001)).min(1.0);
-            weight += ends;
-            (class.sum, class.ends) = (0.0, 0);
+            sum += samples * (class.unloaded() / mean.max(0.001)).min(1.0);
+            weight += samples;
+            (class.sum, class.samples) = (0.0, 0);
         }
         if weight > 0.0 {
             sum / weight
@@ -145,41 +145,41 @@
         }
     }
 
-    fn window_over(&mut self, now: Millis) {
-        let unloaded = self.gradient();
-        let gradient = (TOLERANCE * unloaded).min(1.0);
-        let pressed = f64::from(self.pressed) / f64::from(self.ends.max(1));
-        let bound = self.used >= 0.9 * self.limit;
-        (self.since, self.ends, self.pressed, self.used) = (now, 0, 0, 0.0);
-        if self.stepped > 0 {
-            self.stepped -= 1;
-            if self.stepped == 0 {
-                self.limit = self.restore;
+    fn close_window(&mut self, now: Millis) {
+        let unloaded_ratio = self.unloaded_ratio();
+        let gradient = (LATENCY_TOLERANCE * unloaded_ratio).min(1.0);
+        let drop_share = f64::from(self.drops) / f64::from(self.completions.max(1));
+        let limit_reached = self.peak_in_flight >= 0.9 * self.limit;
+        (self.window_start, self.completions, self.drops, self.peak_in_flight) = (now, 0, 0, 0.0);
+        if self.probe_windows_left > 0 {
+            self.probe_windows_left -= 1;
+            if self.probe_windows_left == 0 {
+                self.limit = self.limit_before_probe;
             }
             return;
         }
-        if pressed > BEARABLE {
-            self.starting = false;
-            self.limit *= 1.0 - 0.5 * pressed.min(0.4);
+        if drop_share > TOLERATED_DROP_SHARE {
+            self.slow_start = false;
+            self.limit *= 1.0 - 0.5 * drop_share.min(0.4);
         } else if gradient < 1.0 {
-            self.starting = false;
+            self.slow_start = false;
             // A window is short against the fleet's own swings: a part of the way at a time.
             self.limit *= 1.0 - 0.2 * (1.0 - gradient.max(0.5));
-        } else if bound {
-            self.limit += if self.starting { self.limit } else { self.limit.sqrt() };
+        } else if limit_reached {
+            self.limit += if self.slow_start { self.limit } else { self.limit.sqrt() };
         }
-        self.limit = self.limit.clamp(self.least, self.most);
-        if now - self.span > SPAN {
-            self.span = now;
+        self.limit = self.limit.clamp(self.min, self.max);
+        if now - self.period_start > BASELINE_PERIOD {
+            self.period_start = now;
             for class in &mut self.classes {
-                (class.before, class.lowest) = (class.lowest, 0.0);
+                (class.previous_lowest, class.lowest) = (class.lowest, 0.0);
             }
             // Under lasting pressure nothing shows the unloaded time, and the lowest mean of the last
             // span would be a loaded one: the limit would climb from span to span.
-            if bound {
-                self.restore = self.limit;
-                self.limit = (self.limit * unloaded * STEP_BACK).max(self.least);
-                self.stepped = STEP_WINDOWS;
+            if limit_reached {
+                self.limit_before_probe = self.limit;
+                self.limit = (self.limit * unloaded_ratio * PROBE_FACTOR).max(self.min);
+                self.probe_windows_left = PROBE_WINDOWS;
             }
         }
     }
--- a/crates/door/src/finish_tags.rs
+++ b/crates/door/src/finish_tags.rs
@@ -11,7 +11,7 @@
 const ROWS: usize = 4;
 /// Cells of a row for each stream that can be held: a flow is live from its arrival until virtual time has
 /// passed its tag, so some two to three times as many flows are live as are held.
-const CELLS_EACH: usize = 4;
+const CELLS_PER_STREAM: usize = 4;
 
 /// A subscriber's place in the sketch: keyed, so that nobody can aim at another's cells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,22 +22,22 @@
 
 impl Flow {
     /// 64 bits that tell this flow from others.
-    pub(crate) fn name(self) -> u64 {
+    pub(crate) fn id(self) -> u64 {
         self.high
     }
 }
 
 /// The sketch.
 #[derive(Debug)]
-pub(crate) struct Tags {
+pub(crate) struct FinishTags {
     key: [u8; 16],
     mask: usize,
     cells: Box<[f64]>,
 }
 
-impl Tags {
-    pub(crate) fn new(key: [u8; 16], most_held: usize) -> Self {
-        let row = (most_held * CELLS_EACH).next_power_of_two().max(64);
+impl FinishTags {
+    pub(crate) fn new(key: [u8; 16], max_queued: usize) -> Self {
+        let row = (max_queued * CELLS_PER_STREAM).next_power_of_two().max(64);
         Self { key, mask: row - 1, cells: vec![0.0; row * ROWS].into() }
     }
 
@@ -50,21 +50,22 @@
         Flow { high: hash.h1, low: hash.h2 }
     }
 
-    fn places(&self, flow: Flow) -> [usize; ROWS] {
+    fn cells_of(&self, flow: Flow) -> [usize; ROWS] {
         let row = self.mask + 1;
-        let halves = [flow.low as u32, (flow.low >> 32) as u32, flow.high as u32, (flow.high >> 32) as u32];
-        std::array::from_fn(|n| n * row + (halves[n] as usize & self.mask))
+        let hash_parts =
+            [flow.low as u32, (flow.low >> 32) as u32, flow.high as u32, (flow.high >> 32) as u32];
+        std::array::from_fn(|n| n * row + (hash_parts[n] as usize & self.mask))
     }
 
     /// The finish tag of the flow's last request, or more.
     pub(crate) fn finish(&self, flow: Flow) -> f64 {
-        self.places(flow).iter().map(|&place| self.cells[place]).fold(f64::INFINITY, f64::min)
+        self.cells_of(flow).iter().map(|&cell| self.cells[cell]).fold(f64::INFINITY, f64::min)
     }
 
     /// Raises the flow's tag; cells that stand higher for others stay.
     pub(crate) fn raise(&mut self, flow: Flow, finish: f64) {
-        for place in self.places(flow) {
-            self.cells[place] = self.cells[place].max(finish);
+        for cell in self.cells_of(flow) {
+            self.cells[cell] = self.cells[cell].max(finish);
         }
     }
 
--- a/crates/door/src/heavy_hitters.rs
+++ b/crates/door/src/heavy_hitters.rs
@@ -13,34 +13,34 @@
 
 /// The counts of a fixed number of subscribers.
 #[derive(Debug)]
-pub(crate) struct Busiest {
+pub(crate) struct HeavyHitters {
     counts: Vec<HeavyHitter>,
-    most: usize,
+    capacity: usize,
 }
 
-impl Busiest {
-    pub(crate) fn new(most: usize) -> Self {
-        Self { counts: Vec::with_capacity(most), most }
+impl HeavyHitters {
+    pub(crate) fn new(capacity: usize) -> Self {
+        Self { counts: Vec::with_capacity(capacity), capacity }
     }
 
-    pub(crate) fn note(&mut self, subscriber: u64) {
-        if let Some(at) = self.counts.iter().position(|busy| busy.subscriber == subscriber) {
-            self.counts[at].count += 1;
+    pub(crate) fn record(&mut self, subscriber: u64) {
+        if let Some(index) = self.counts.iter().position(|hitter| hitter.subscriber == subscriber) {
+            self.counts[index].count += 1;
             // The busiest lie in front, where they are found first.
-            if at > 0 && self.counts[at - 1].count < self.counts[at].count {
-                self.counts.swap(at - 1, at);
+            if index > 0 && self.counts[index - 1].count < self.counts[index].count {
+                self.counts.swap(index - 1, index);
             }
-        } else if self.counts.len() < self.most {
+        } else if self.counts.len() < self.capacity {
             self.counts.push(HeavyHitter { subscriber, count: 1, error: 0 });
-        } else if let Some(least) = self.counts.iter_mut().min_by_key(|busy| busy.count) {
-            *least = HeavyHitter { subscriber, count: least.count + 1, error: least.count };
+        } else if let Some(smallest) = self.counts.iter_mut().min_by_key(|hitter| hitter.count) {
+            *smallest = HeavyHitter { subscriber, count: smallest.count + 1, error: smallest.count };
         }
     }
 
     /// Those certain to be busy first.
     pub(crate) fn entries(&self) -> Vec<HeavyHitter> {
-        let mut list = self.counts.clone();
-        list.sort_by_key(|busy| std::cmp::Reverse(busy.count - busy.error));
-        list
+        let mut sorted = self.counts.clone();
+        sorted.sort_by_key(|hitter| std::cmp::Reverse(hitter.count - hitter.error));
+        sorted
     }
 }
--- a/crates/door/src/queue.rs
+++ b/crates/door/src/queue.rs
@@ -4,39 +4,39 @@
 //! first and the last bucket that is not empty (the calendar queue of Brown, CACM 1988, without sorting inside a
 //! bucket). A second ring over real time finds what has waited too long. Nodes lie in one slab made at the start.
 
-use crate::bitmap::Bits;
+use crate::bitmap::Bitmap;
 use crate::Millis;
 use std::collections::HashMap;
 
 /// Buckets over virtual time, and their width in rounds of the lightest plan.
 const BUCKETS: usize = 4096;
-const WIDTH: f64 = 1.0 / 16.0;
+const BUCKET_WIDTH: f64 = 1.0 / 16.0;
 /// How far a start tag may lie ahead of virtual time, in rounds.
-pub(crate) const HORIZON: f64 = (BUCKETS - 2) as f64 * WIDTH;
+pub(crate) const HORIZON: f64 = (BUCKETS - 2) as f64 * BUCKET_WIDTH;
 /// The list of those with an appointment, behind the buckets.
-const DUE: usize = BUCKETS;
+const APPOINTMENTS: usize = BUCKETS;
 /// Ticks over real time and their length: more than the longest wait.
 const TICKS: usize = 1024;
-const TICK: Millis = 8.0;
+const TICK_LEN: Millis = 8.0;
 /// The longest that anything may be held.
-pub(crate) const LONGEST: Millis = (TICKS - 2) as f64 * TICK;
+pub(crate) const MAX_QUEUE_TIME: Millis = (TICKS - 2) as f64 * TICK_LEN;
 
 const NONE: u32 = u32::MAX;
 
 /// One stream that is held.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Held {
+pub(crate) struct QueuedStream {
     pub(crate) stream: u64,
     pub(crate) arrived: Millis,
     /// It must be gone by then.
-    pub(crate) latest: Millis,
+    pub(crate) deadline: Millis,
     /// Its start tag.
     pub(crate) start: f64,
     pub(crate) subscriber: u64,
     pub(crate) class: u16,
     pub(crate) plan: u16,
     /// The appointment it keeps; 0 for none.
-    pub(crate) due: Millis,
+    pub(crate) appointment: Millis,
     /// Its client reads whole seconds only.
     pub(crate) whole_seconds: bool,
     pub(crate) bytes: u32,
@@ -45,120 +45,120 @@
 /// Where a node stands in one of the lists.
 #[derive(Debug, Clone, Copy)]
 struct Link {
-    before: u32,
-    after: u32,
+    prev: u32,
+    next: u32,
     list: u16,
 }
 
-/// Lists through the slab of nodes, each with its first and last, and a bit for each that is not empty.
+/// LinkedLists through the slab of nodes, each with its first and last, and a bit for each that is not empty.
 #[derive(Debug)]
-struct Lists {
+struct LinkedLists {
     links: Box<[Link]>,
     ends: Box<[(u32, u32)]>,
-    some: Bits,
+    non_empty: Bitmap,
 }
 
-impl Lists {
+impl LinkedLists {
     fn new(count: usize, nodes: usize) -> Self {
         Self {
-            links: vec![Link { before: NONE, after: NONE, list: 0 }; nodes].into(),
+            links: vec![Link { prev: NONE, next: NONE, list: 0 }; nodes].into(),
             ends: vec![(NONE, NONE); count].into(),
-            some: Bits::new(count, false),
+            non_empty: Bitmap::new(count, false),
         }
     }
 
     /// Puts a node behind the last of a list.
-    fn append(&mut self, list: usize, place: u32) {
+    fn append(&mut self, list: usize, node: u32) {
         let last = self.ends[list].1;
-        self.links[place as usize] = Link { before: last, after: NONE, list: list as u16 };
+        self.links[node as usize] = Link { prev: last, next: NONE, list: list as u16 };
         match last {
-            NONE => self.ends[list].0 = place,
-            last => self.links[last as usize].after = place,
+            NONE => self.ends[list].0 = node,
+            last => self.links[last as usize].next = node,
         }
-        self.ends[list].1 = place;
-        self.some.set(list, true);
+        self.ends[list].1 = node;
+        self.non_empty.set(list, true);
     }
 
     /// Takes a node out of its list, and gives that.
-    fn unlink(&mut self, place: u32) -> usize {
-        let Link { before, after, list } = self.links[place as usize];
+    fn unlink(&mut self, node: u32) -> usize {
+        let Link { prev, next, list } = self.links[node as usize];
         let list = usize::from(list);
-        match before {
-            NONE => self.ends[list].0 = after,
-            before => self.links[before as usize].after = after,
+        match prev {
+            NONE => self.ends[list].0 = next,
+            prev => self.links[prev as usize].next = next,
         }
-        match after {
-            NONE => self.ends[list].1 = before,
-            after => self.links[after as usize].before = before,
+        match next {
+            NONE => self.ends[list].1 = prev,
+            next => self.links[next as usize].prev = prev,
         }
-        self.some.set(list, self.ends[list].0 != NONE);
+        self.non_empty.set(list, self.ends[list].0 != NONE);
         list
     }
 
     fn memory(&self) -> usize {
-        size_of_val(&*self.links) + size_of_val(&*self.ends) + self.some.bytes()
+        size_of_val(&*self.links) + size_of_val(&*self.ends) + self.non_empty.bytes()
     }
 }
 
 /// The streams that are held.
 #[derive(Debug)]
 pub(crate) struct Queue {
-    nodes: Box<[Held]>,
+    nodes: Box<[QueuedStream]>,
     /// Places of nodes that hold nothing.
     free: Vec<u32>,
-    places: HashMap<u64, u32>,
-    tags: Lists,
-    times: Lists,
+    node_of_stream: HashMap<u64, u32>,
+    by_start_tag: LinkedLists,
+    by_deadline: LinkedLists,
     /// Streams in each bucket, as a Fenwick tree (1994): how many lie ahead of a tag.
-    counts: Box<[u32]>,
+    bucket_counts: Box<[u32]>,
     /// The bucket of virtual time, counted from its start.
-    base: u64,
+    base_bucket: u64,
     /// The tick up to which time has been looked at, counted from its start.
-    tick: u64,
-    due: usize,
+    current_tick: u64,
+    appointments: usize,
     bytes: usize,
 }
 
 fn bucket_of(tag: f64) -> u64 {
-    (tag / WIDTH) as u64
+    (tag / BUCKET_WIDTH) as u64
 }
 
 fn tick_of(at: Millis) -> u64 {
-    (at / TICK) as u64
+    (at / TICK_LEN) as u64
 }
 
 impl Queue {
-    pub(crate) fn new(most: usize) -> Self {
-        let held = Held {
+    pub(crate) fn new(capacity: usize) -> Self {
+        let entry = QueuedStream {
             stream: 0,
             arrived: 0.0,
-            latest: 0.0,
+            deadline: 0.0,
             start: 0.0,
             subscriber: 0,
             class: 0,
             plan: 0,
-            due: 0.0,
+            appointment: 0.0,
             whole_seconds: false,
             bytes: 0,
         };
         Self {
-            nodes: vec![held; most].into(),
+            nodes: vec![entry; capacity].into(),
             // The first place is taken first.
-            free: (0..most as u32).rev().collect(),
+            free: (0..capacity as u32).rev().collect(),
             // Past half of its capacity a table with removals behind it grows instead of tidying up.
-            places: HashMap::with_capacity(2 * most),
-            tags: Lists::new(BUCKETS + 1, most),
-            times: Lists::new(TICKS, most),
-            counts: vec![0; BUCKETS + 1].into(),
-            base: 0,
-            tick: 0,
-            due: 0,
+            node_of_stream: HashMap::with_capacity(2 * capacity),
+            by_start_tag: LinkedLists::new(BUCKETS + 1, capacity),
+            by_deadline: LinkedLists::new(TICKS, capacity),
+            bucket_counts: vec![0; BUCKETS + 1].into(),
+            base_bucket: 0,
+            current_tick: 0,
+            appointments: 0,
             bytes: 0,
         }
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.places.len()
+        self.node_of_stream.len()
     }
 
     pub(crate) fn is_full(&self) -> bool {
@@ -170,156 +170,172 @@
     }
 
     /// How many are held that have an appointment.
-    pub(crate) fn due(&self) -> usize {
-        self.due
+    pub(crate) fn appointments(&self) -> usize {
+        self.appointments
     }
 
     /// Memory taken for nodes and rings, made at the start.
     pub(crate) fn memory(&self) -> usize {
         // The standard table keeps at most seven eighths full and a byte beside each entry.
-        let places = self.nodes.len() * 2 * 8 / 7 * 17;
-        let lists = self.tags.memory() + self.times.memory() + size_of_val(&*self.counts);
-        lists + size_of_val(&*self.nodes) + self.nodes.len() * size_of::<u32>() + places
+        let table = self.nodes.len() * 2 * 8 / 7 * 17;
+        let lists =
+            self.by_start_tag.memory() + self.by_deadline.memory() + size_of_val(&*self.bucket_counts);
+        lists + size_of_val(&*self.nodes) + self.nodes.len() * size_of::<u32>() + table
     }
 
-    fn count(&mut self, bucket: usize, by: i32) {
+    fn add_to_bucket(&mut self, bucket: usize, by: i32) {
         let mut at = bucket + 1;
         while at <= BUCKETS {
-            self.counts[at] = self.counts[at].wrapping_add_signed(by);
+            self.bucket_counts[at] = self.bucket_counts[at].wrapping_add_signed(by);
             at += at & at.wrapping_neg();
         }
     }
 
     /// Streams in the ring's first `buckets` buckets.
-    fn below(&self, buckets: usize) -> usize {
+    fn prefix_sum(&self, buckets: usize) -> usize {
         let (mut at, mut sum) = (buckets, 0);
         while at > 0 {
-            sum += self.counts[at] as usize;
+            sum += self.bucket_counts[at] as usize;
             at &= at - 1;
         }
         sum
     }
 
     /// How many are handed on before one that would come now with this start tag.
-    pub(crate) fn ahead(&self, start: f64) -> usize {
-        let (first, last) = (self.base, bucket_of(start).min(self.base + BUCKETS as u64 - 1));
+    pub(crate) fn streams_ahead(&self, start: f64) -> usize {
+        let (first, last) = (self.base_bucket, bucket_of(start).min(self.base_bucket + BUCKETS as u64 - 1));
         let (from, to) = (first as usize % BUCKETS, last as usize % BUCKETS + 1);
         let within = if last < first {
             0
         } else if to > from {
-            self.below(to) - self.below(from)
+            self.prefix_sum(to) - self.prefix_sum(from)
         } else {
-            self.below(BUCKETS) - self.below(from) + self.below(to)
+            self.prefix_sum(BUCKETS) - self.prefix_sum(from) + self.prefix_sum(to)
         };
-        self.due + within
+        self.appointments + within
     }
 
     /// Virtual time has come so far; nothing is held below it.
-    pub(crate) fn virtual_time(&mut self, now: f64) {
-        if self.places.len() == self.due {
-            self.base = self.base.max(bucket_of(now));
+    pub(crate) fn advance_base(&mut self, virtual_time: f64) {
+        if self.node_of_stream.len() == self.appointments {
+            self.base_bucket = self.base_bucket.max(bucket_of(virtual_time));
         }
     }
 
     /// Holds a stream, with an appointment in front of all others. The tag must not lie beyond the horizon, and
     /// there must be room.
-    pub(crate) fn push(&mut self, mut held: Held, due: bool) {
-        assert!(!self.is_full(), "a stream is held only where there is room");
-        if self.places.is_empty() {
-            self.tick = tick_of(held.arrived);
+    pub(crate) fn push(&mut self, mut entry: QueuedStream, by_appointment: bool) {
+        assert!(!self.is_full(), "push requires a free node");
+        if self.node_of_stream.is_empty() {
+            self.current_tick = tick_of(entry.arrived);
         }
-        held.latest = held.latest.min(held.arrived + LONGEST);
-        let bucket = if due {
-            self.due += 1;
-            DUE
+        entry.deadline = entry.deadline.min(entry.arrived + MAX_QUEUE_TIME);
+        let bucket = if by_appointment {
+            self.appointments += 1;
+            APPOINTMENTS
         } else {
-            let at =
-                bucket_of(held.start).clamp(self.base, self.base + BUCKETS as u64 - 1) as usize % BUCKETS;
-            self.count(at, 1);
+            let at = bucket_of(entry.start).clamp(self.base_bucket, self.base_bucket + BUCKETS as u64 - 1)
+                as usize
+                % BUCKETS;
+            self.add_to_bucket(at, 1);
             at
         };
-        let tick = tick_of(held.latest).clamp(self.tick, self.tick + TICKS as u64 - 1) as usize % TICKS;
-        let place = self.free.pop().expect("a stream is held only where there is room");
-        self.nodes[place as usize] = held;
-        self.tags.append(bucket, place);
-        self.times.append(tick, place);
-        self.bytes += held.bytes as usize;
-        let doubled = self.places.insert(held.stream, place);
-        assert!(doubled.is_none(), "a stream is held once");
+        let tick = tick_of(entry.deadline).clamp(self.current_tick, self.current_tick + TICKS as u64 - 1)
+            as usize
+            % TICKS;
+        let node = self.free.pop().expect("push requires a free node");
+        self.nodes[node as usize] = entry;
+        self.by_start_tag.append(bucket, node);
+        self.by_deadline.append(tick, node);
+        self.bytes += entry.bytes as usize;
+        let duplicate = self.node_of_stream.insert(entry.stream, node);
+        assert!(duplicate.is_none(), "a stream is queued at most once");
     }
 
-    fn take(&mut self, place: u32) -> Held {
-        let held = self.nodes[place as usize];
-        let bucket = self.tags.unlink(place);
-        self.times.unlink(place);
-        if bucket == DUE {
-            self.due -= 1;
+    fn remove_node(&mut self, node: u32) -> QueuedStream {
+        let entry = self.nodes[node as usize];
+        let bucket = self.by_start_tag.unlink(node);
+        self.by_deadline.unlink(node);
+        if bucket == APPOINTMENTS {
+            self.appointments -= 1;
         } else {
-            self.count(bucket, -1);
+            self.add_to_bucket(bucket, -1);
         }
-        self.free.push(place);
-        self.places.remove(&held.stream);
-        self.bytes -= held.bytes as usize;
-        held
+        self.free.push(node);
+        self.node_of_stream.remove(&entry.stream);
+        self.bytes -= entry.bytes as usize;
+        entry
     }
 
     /// Takes out a stream, wherever it stands.
-    pub(crate) fn remove(&mut self, stream: u64) -> Option<Held> {
-        let place = *self.places.get(&stream)?;
-        Some(self.take(place))
+    pub(crate) fn remove(&mut self, stream: u64) -> Option<QueuedStream> {
+        let node = *self.node_of_stream.get(&stream)?;
+        Some(self.remove_node(node))
     }
 
     /// Takes out the oldest with an appointment.
-    pub(crate) fn pop_due(&mut self) -> Option<Held> {
-        match self.tags.ends[DUE].0 {
+    pub(crate) fn pop_appointment(&mut self) -> Option<QueuedStream> {
+        match self.by_start_tag.ends[APPOINTMENTS].0 {
             NONE => None,
-            place => Some(self.take(place)),
+            node => Some(self.remove_node(node)),
         }
     }
 
     /// Takes out one with the lowest start tag, within a bucket's width.
-    pub(crate) fn pop_first(&mut self) -> Option<Held> {
-        let base = self.base as usize % BUCKETS;
-        let bucket = self.tags.some.first(base, BUCKETS).or_else(|| self.tags.some.first(0, base))?;
-        self.base += ((bucket + BUCKETS - base) % BUCKETS) as u64;
-        Some(self.take(self.tags.ends[bucket].0))
+    pub(crate) fn pop_lowest_tag(&mut self) -> Option<QueuedStream> {
+        let base = self.base_bucket as usize % BUCKETS;
+        let bucket = self
+            .by_start_tag
+            .non_empty
+            .first_set(base, BUCKETS)
+            .or_else(|| self.by_start_tag.non_empty.first_set(0, base))?;
+        self.base_bucket += ((bucket + BUCKETS - base) % BUCKETS) as u64;
+        Some(self.remove_node(self.by_start_tag.ends[bucket].0))
     }
 
     /// The one with the highest start tag: the tail of the queue that is longest by weight.
-    pub(crate) fn last(&self) -> Option<&Held> {
-        let base = self.base as usize % BUCKETS;
-        let bucket = self.tags.some.last(0, base).or_else(|| self.tags.some.last(base, BUCKETS))?;
-        Some(&self.nodes[self.tags.ends[bucket].1 as usize])
+    pub(crate) fn highest_tag(&self) -> Option<&QueuedStream> {
+        let base = self.base_bucket as usize % BUCKETS;
+        let bucket = self
+            .by_start_tag
+            .non_empty
+            .last_set(0, base)
+            .or_else(|| self.by_start_tag.non_empty.last_set(base, BUCKETS))?;
+        Some(&self.nodes[self.by_start_tag.ends[bucket].1 as usize])
     }
 
     /// When something will have waited too long, at the latest.
-    pub(crate) fn next_due(&self) -> Option<Millis> {
-        if self.places.is_empty() {
+    pub(crate) fn next_deadline(&self) -> Option<Millis> {
+        if self.node_of_stream.is_empty() {
             return None;
         }
-        let now = self.tick as usize % TICKS;
-        let tick = self.times.some.first(now, TICKS).or_else(|| self.times.some.first(0, now))?;
+        let now = self.current_tick as usize % TICKS;
+        let tick = self
+            .by_deadline
+            .non_empty
+            .first_set(now, TICKS)
+            .or_else(|| self.by_deadline.non_empty.first_set(0, now))?;
         let ahead = ((tick + TICKS - now) % TICKS) as u64;
         // The earliest in a tick may be due at its beginning.
-        Some((self.tick + ahead) as f64 * TICK)
+        Some((self.current_tick + ahead) as f64 * TICK_LEN)
     }
 
     /// Takes out one that has waited too long. What is due within the tick of `now` counts as well: it cannot
     /// be handed on in the little time left.
-    pub(crate) fn pop_overdue(&mut self, now: Millis) -> Option<Held> {
-        if self.places.is_empty() {
+    pub(crate) fn pop_expired(&mut self, now: Millis) -> Option<QueuedStream> {
+        if self.node_of_stream.is_empty() {
             return None;
         }
-        let until = tick_of(now);
-        while self.tick <= until {
-            let first = self.times.ends[self.tick as usize % TICKS].0;
+        let last_tick = tick_of(now);
+        while self.current_tick <= last_tick {
+            let first = self.by_deadline.ends[self.current_tick as usize % TICKS].0;
             if first != NONE {
-                return Some(self.take(first));
+                return Some(self.remove_node(first));
             }
-            if self.tick == until {
+            if self.current_tick == last_tick {
                 break;
             }
-            self.tick += 1;
+            self.current_tick += 1;
         }
         None
     }
--- a/crates/door/src/rate.rs
+++ b/crates/door/src/rate.rs
@@ -3,33 +3,33 @@
 use crate::Millis;
 
 /// A measured rate stands this long.
-const RATE_STANDS: Millis = 5000.0;
+const RATE_VALIDITY: Millis = 5000.0;
 
 /// A smoothed figure that stands for a while.
 #[derive(Debug, Default)]
-pub(crate) struct Rate {
+pub(crate) struct SmoothedRate {
     pub(crate) value: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
-impl Rate {
+impl SmoothedRate {
     /// Takes in a sample with this weight, or for all that is known where nothing stands.
-    pub(crate) fn learn(&mut self, now: Millis, sample: f64, gain: f64) {
-        self.value = self.stands(now).map_or(sample, |value| value + gain * (sample - value));
-        self.at = now;
+    pub(crate) fn update(&mut self, now: Millis, sample: f64, gain: f64) {
+        self.value = self.current(now).map_or(sample, |value| value + gain * (sample - value));
+        self.updated_at = now;
     }
 
-    pub(crate) fn stands(&self, now: Millis) -> Option<f64> {
-        (self.value > 0.0 && now - self.at < RATE_STANDS).then_some(self.value)
+    pub(crate) fn current(&self, now: Millis) -> Option<f64> {
+        (self.value > 0.0 && now - self.updated_at < RATE_VALIDITY).then_some(self.value)
     }
 }
 
 /// The window over which rates are measured.
 #[derive(Debug, Default)]
-pub(crate) struct Window {
-    pub(crate) since: Millis,
-    pub(crate) passed: u32,
+pub(crate) struct RateWindow {
+    pub(crate) start: Millis,
+    pub(crate) dispatched: u32,
     pub(crate) virtual_time: f64,
     /// Something has been held all the time.
-    pub(crate) pressed: bool,
+    pub(crate) backlogged: bool,
 }
--- a/crates/door/src/refused_client.rs
+++ b/crates/door/src/refused_client.rs
@@ -1,23 +1,23 @@
 //! Whom a refusal concerns, and why.
 
 use crate::message::Arrival;
-use crate::queue::Held;
+use crate::queue::QueuedStream;
 use crate::Millis;
 
 /// Why a stream is refused, for the figures.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Cause {
-    Subscriber,
-    Wait,
-    Room,
-    Scarce,
-    Overdue,
-    Behind,
+pub(crate) enum RefusalCause {
+    SubscriberLimit,
+    ExpectedWait,
+    QueueFull,
+    LowResources,
+    QueueTimeout,
+    AfterDispatch,
 }
 
 /// Who a refusal concerns.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Client {
+pub(crate) struct ClientInfo {
     pub(crate) subscriber: u64,
     pub(crate) class: usize,
     pub(crate) whole_seconds: bool,
@@ -25,21 +25,21 @@
     pub(crate) client_timeout: Millis,
 }
 
-impl From<&Arrival<'_>> for Client {
+impl From<&Arrival<'_>> for ClientInfo {
     fn from(arrival: &Arrival<'_>) -> Self {
         let Arrival { subscriber, class, whole_seconds, client_timeout, .. } = *arrival;
         Self { subscriber, class, whole_seconds, client_timeout }
     }
 }
 
-impl From<&Held> for Client {
-    fn from(held: &Held) -> Self {
+impl From<&QueuedStream> for ClientInfo {
+    fn from(entry: &QueuedStream) -> Self {
         Self {
-            subscriber: held.subscriber,
-            class: usize::from(held.class),
-            whole_seconds: held.whole_seconds,
+            subscriber: entry.subscriber,
+            class: usize::from(entry.class),
+            whole_seconds: entry.whole_seconds,
             // It was held for a quarter of its time at the most.
-            client_timeout: 4.0 * (held.latest - held.arrived),
+            client_timeout: 4.0 * (entry.deadline - entry.arrived),
         }
     }
 }
--- a/crates/recovery/src/tests.rs
+++ b/crates/recovery/src/tests.rs
@@ -6,27 +6,27 @@
 
 #[rstest]
 #[case::fresh(StatePart::Slices, 4_000, true, Reuse::Whole)]
-#[case::missed_more_than_a_period(StatePart::Slices, 4_001, true, Reuse::AsBound)]
+#[case::older_than_a_meter_period(StatePart::Slices, 4_001, true, Reuse::AsBound)]
 #[case::other_settings(StatePart::Slices, 10, false, Reuse::AsBound)]
 #[case::too_old_even_for_a_bound(StatePart::Slices, 60_001, true, Reuse::Not)]
-#[case::price_of_seconds_ago(StatePart::Prices, 5_001, true, Reuse::Not)]
-#[case::price_of_another_load(StatePart::Prices, 10, false, Reuse::Not)]
-#[case::cordon_of_yesterday(StatePart::Cordons, 80_000_000, false, Reuse::AsBound)]
+#[case::price_too_old(StatePart::Prices, 5_001, true, Reuse::Not)]
+#[case::price_under_other_settings(StatePart::Prices, 10, false, Reuse::Not)]
+#[case::cordon_from_the_previous_day(StatePart::Cordons, 80_000_000, false, Reuse::AsBound)]
 #[case::list(StatePart::List, 10, true, Reuse::AsBound)]
 #[case::list_too_old(StatePart::List, 600_001, true, Reuse::Not)]
 #[case::evidence(StatePart::Evidence, 60_000, false, Reuse::Whole)]
 #[case::evidence_too_old(StatePart::Evidence, 60_001, false, Reuse::Not)]
-fn a_part_is_used_by_its_age_and_the_settings_it_was_made_under(
+fn state_reuse_depends_on_age_and_settings(
     #[case] part: StatePart,
     #[case] age: Ms,
-    #[case] same: bool,
-    #[case] how: Reuse,
+    #[case] same_settings: bool,
+    #[case] expected: Reuse,
 ) {
-    assert_eq!(MaxAges::default().reuse(part, age, same), how);
+    assert_eq!(MaxAges::default().reuse(part, age, same_settings), expected);
 }
 
 #[test]
-fn phases_come_in_order_each_once_and_pressure_holds_full_service_back() {
+fn phases_advance_in_order_and_refusals_delay_full_service() {
     let mut progress = RecoveryProgress::new(1000);
     let mut observation = Observation { hosts_warm: true, versions_agreed: true, ..Observation::default() };
     assert_eq!(progress.observe(1500, observation), [], "nothing counts before the store");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn gateways_that_fail_together_try_again_apart_and_begin_apart() {
+fn backoff_and_start_offsets_spread_simultaneous_failures() {
     let after = |tries: usize| -> Vec<Ms> {
         (0..300u64)
             .map(|seed| {
@@ -51,8 +51,8 @@
             .collect()
     };
     // Of 300 after six failures, no 100 ms of the last wait's second holds more than a fifth.
-    let moments = after(6);
-    let most = (0..30).map(|n| moments.iter().filter(|at| **at / 100 == n).count()).max();
+    let retry_times = after(6);
+    let most = (0..30).map(|n| retry_times.iter().filter(|at| **at / 100 == n).count()).max();
     assert!(most.is_some_and(|most| most <= 60), "{most:?}");
     let mut first: Vec<Ms> = (0..16).map(|n| staggered_start(500, 16, n, 7 + u64::from(n))).collect();
     first.dedup();
@@ -61,12 +61,12 @@
 
 proptest! {
     #[test]
-    fn a_wait_is_never_over_its_ceiling_and_success_forgets(first in 1..500u64, longest in 1..5000u64, seed: u64) {
-        let mut backoff = Backoff::new(first, longest.max(first), seed);
+    fn a_delay_never_exceeds_its_ceiling_and_success_resets_it(first in 1..500u64, max in 1..5000u64, seed: u64) {
+        let mut backoff = Backoff::new(first, max.max(first), seed);
         let mut ceiling = first;
         for _ in 0..12 {
-            let wait = backoff.next_delay();
-            prop_assert!((1..=ceiling.min(longest.max(first))).contains(&wait), "{wait} over {ceiling}");
+            let delay = backoff.next_delay();
+            prop_assert!((1..=ceiling.min(max.max(first))).contains(&delay), "{delay} over {ceiling}");
             ceiling = ceiling.saturating_mul(2);
         }
         backoff.reset();
@@ -74,7 +74,7 @@
     }
 
     #[test]
-    fn everyone_begins_within_the_spread(spread in 0..10_000u64, gateways in 0..400u32, ordinal: u32, seed: u64) {
+    fn every_start_offset_lies_within_the_spread(spread in 0..10_000u64, gateways in 0..400u32, ordinal: u32, seed: u64) {
         prop_assert!(staggered_start(spread, gateways, ordinal, seed) <= spread);
     }
 }
