--- a/crates/door/src/admission_queue/appointments.rs
+++ b/crates/door/src/admission_queue/appointments.rs
@@ -2,10 +2,10 @@
 
 use super::throughput::MIN_RETRY_AFTER;
 use super::AdmissionQueue;
+use crate::client_info::{ClientInfo, RefusalCause};
 use crate::finish_tags::Flow;
 use crate::message::{Arrival, Refusal};
 use crate::queue::HORIZON;
-use crate::refused_client::{ClientInfo, RefusalCause};
 use crate::reservations;
 use crate::ticket::{Ticket, TicketError};
 use crate::Millis;
--- a/crates/door/src/admission_queue/arrivals.rs
+++ b/crates/door/src/admission_queue/arrivals.rs
@@ -2,9 +2,9 @@
 
 use super::throughput::NEWCOMER_INTERVAL;
 use super::AdmissionQueue;
+use crate::client_info::{ClientInfo, RefusalCause};
 use crate::message::{Action, Admission, Arrival};
 use crate::queue::{QueuedStream, HORIZON};
-use crate::refused_client::{ClientInfo, RefusalCause};
 use crate::Millis;
 
 /// Streams count as pressed for this long after the last was held: what passes is charged to its subscriber.
--- a/crates/door/src/admission_queue/dispatch.rs
+++ b/crates/door/src/admission_queue/dispatch.rs
@@ -3,10 +3,10 @@
 use super::arrivals::CONTENTION_PERIOD;
 use super::throughput::NEWCOMER_INTERVAL;
 use super::AdmissionQueue;
+use crate::client_info::RefusalCause;
 use crate::concurrency_limit::Outcome;
 use crate::message::Action;
 use crate::queue::QueuedStream;
-use crate::refused_client::RefusalCause;
 use crate::Millis;
 
 /// Weight of one stream in the time in flight.
--- a/crates/door/src/lib.rs
+++ b/crates/door/src/lib.rs
@@ -18,6 +18,7 @@
 mod active_weight;
 mod admission_queue;
 mod bitmap;
+mod client_info;
 mod concurrency_limit;
 mod counters;
 mod finish_tags;
@@ -25,7 +26,6 @@
 mod message;
 mod queue;
 mod rate;
-mod refused_client;
 mod reservations;
 mod settings;
 mod ticket;
