--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,28 +1,31 @@
-//! A gateway's return after a restart, alone or with most others, or after the shared store was lost.
+//! Recovery of a gateway after a restart, alone or together with most others, or after the loss of the shared
+//! store.
 //!
-//! Four decisions, each a state machine without I/O: when to try again what failed ([`Backoff`]), when to begin what all
-//! would begin at once ([`staggered_start`]), what of a state that outlived its process may be used ([`MaxAges::reuse`]), and how
-//! far the return has come ([`RecoveryProgress`]). Times are milliseconds of the caller's clock, passed in.
+//! The crate makes four decisions, each without I/O: when to retry a failed operation ([`Backoff`]), when to
+//! start an operation that all gateways would otherwise start at once ([`staggered_start`]), which parts of a
+//! state that outlived its process may be used ([`MaxAges::reuse`]), and how far the recovery has progressed
+//! ([`RecoveryProgress`]). Times are milliseconds of the caller's clock, passed in.
 //!
 //! ```
-//! use switchhill_recovery::{MaxAges, StatePart, Reuse};
+//! use switchhill_recovery::{MaxAges, Reuse, StatePart};
 //!
 //! let ages = MaxAges::default();
 //! assert_eq!(ages.reuse(StatePart::Prices, 1_000, true), Reuse::Whole);
 //! assert_eq!(ages.reuse(StatePart::Prices, 60_000, true), Reuse::Not);
-//! assert_eq!(ages.reuse(StatePart::Slices, 1_000, false), Reuse::AsBound, "another version: never as a looser rule");
+//! assert_eq!(ages.reuse(StatePart::Slices, 1_000, false), Reuse::AsBound, "other settings: only as a bound");
 //! ```
 
 use backon::{BackoffBuilder, ExponentialBackoff, ExponentialBuilder};
 use std::time::Duration;
 
-/// A moment or a span on the caller's clock, in milliseconds.
+/// A time or a duration on the caller's clock, in milliseconds.
 pub type Ms = u64;
 
-/// Waits between tries: full jitter under a ceiling that doubles with each failure.
+/// Exponential backoff with full jitter.
 ///
-/// Each wait is drawn evenly from 1 ms to the ceiling, so that many who failed together come back apart: after a store
-/// was away, the tries of all gateways in any span shorter than the ceiling are a Poisson-like trickle, not a burst.
+/// Each delay is drawn uniformly from 1 ms to a ceiling that doubles with each failure. Clients that failed
+/// together therefore retry at different times: after a store outage, the retries of all gateways within any
+/// interval shorter than the ceiling are nearly Poisson distributed instead of a burst.
 #[derive(Debug)]
 pub struct Backoff {
     builder: ExponentialBuilder,
@@ -32,8 +35,8 @@
 }
 
 impl Backoff {
-    /// A first ceiling of `first_ms`, doubled up to `max_ms`; `seed` is the gateway's told one, so that no two draw
-    /// the same waits.
+    /// The first ceiling is `first_ms`, doubled up to `max_ms`. `seed` must differ between gateways, so that
+    /// no two draw the same delays.
     #[must_use]
     pub fn new(first_ms: Ms, max_ms: Ms, seed: u64) -> Self {
         let max_delay = Duration::from_millis(max_ms.max(1));
@@ -45,20 +48,21 @@
         Self { builder, ceilings: builder.build(), max_delay, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// It failed: how long to wait before the next try.
+    /// Returns the delay before the next attempt after a failure.
     pub fn next_delay(&mut self) -> Ms {
         let ceiling = self.ceilings.next().unwrap_or(self.max_delay);
         self.rng.u64(1..=(ceiling.as_millis() as Ms).max(1))
     }
 
-    /// It went well: the next failure waits little again.
+    /// Resets the ceiling to its first value after a success.
     pub fn reset(&mut self) {
         self.ceilings = self.builder.build();
     }
 }
 
-/// When, after its start, a gateway begins what all that started with it would begin at once: evenly over `spread_ms` by
-/// its told number, and moved within its own part by its seed.
+/// The delay after its start at which a gateway begins an operation that all gateways started with it would
+/// begin at once. Gateways are spread evenly over `spread_ms` by their ordinal, with a random offset from
+/// `seed` within each gateway's share.
 #[must_use]
 pub fn staggered_start(spread_ms: Ms, gateways: u32, ordinal: u32, seed: u64) -> Ms {
     let gateways = u64::from(gateways.max(1));
@@ -67,46 +71,46 @@
     (u64::from(ordinal) % gateways * spread_ms / gateways + jitter).min(spread_ms)
 }
 
-/// A part of the state that outlives a process.
+/// A part of the state that outlives a process. A log line prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatePart {
-    /// Hosts that operators called out.
+    /// Hosts that operators have cordoned.
     Cordons,
-    /// Discovery's list.
+    /// The list of hosts from discovery.
     List,
-    /// Customers' use and their slices of the quotas.
+    /// Customers' usage and their slices of the quotas.
     Slices,
-    /// What requests cost others, by class.
+    /// Congestion prices by class.
     Prices,
-    /// What is known of hosts' speed and faults.
+    /// Measured speed and faults of hosts.
     Evidence,
 }
 
-/// How a part may be used.
+/// How a part of the state may be reused. A log line prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// As it was.
+    /// Unchanged.
     Whole,
-    /// Only where it is the stricter: it may hold back, never allow.
+    /// Only where it is stricter than the current state: it may restrict, never permit.
     AsBound,
     /// Not at all.
     Not,
 }
 
-/// Up to which age each part is used, in milliseconds.
+/// Maximum age at which each part is reused, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MaxAges {
-    /// Cordons hold back only, so they are good for long.
+    /// Cordons only restrict, so they stay valid for long.
     pub cordons: Ms,
-    /// A list stands in until discovery answers.
+    /// The list is used until discovery responds.
     pub list: Ms,
-    /// Slices as they were: within these many milliseconds no more than a meter period or two has been missed.
+    /// Slices unchanged: within this time no more than one or two meter periods have been missed.
     pub slices: Ms,
-    /// Slices as a bound.
+    /// Slices as an upper bound.
     pub slices_bound: Ms,
-    /// Prices follow the load of seconds.
+    /// Prices follow the load within seconds.
     pub prices: Ms,
-    /// Hosts' speed changes over minutes; a ramp's begin is good as long as the host has not started anew.
+    /// The speed of hosts changes over minutes, and the start of a ramp is valid until the host restarts.
     pub evidence: Ms,
 }
 
@@ -124,7 +128,8 @@
 }
 
 impl MaxAges {
-    /// How `part` may be used that is `age` old, and was made under the settings in force now or under others.
+    /// How `part` of the given age may be reused. `same_settings` tells whether it was saved under the
+    /// current settings.
     #[must_use]
     pub fn reuse(&self, part: StatePart, age: Ms, same_settings: bool) -> Reuse {
         let up_to = |most: Ms, how: Reuse| if age <= most { how } else { Reuse::Not };
@@ -133,7 +138,7 @@
             StatePart::List => up_to(self.list, Reuse::AsBound),
             StatePart::Slices if same_settings && age <= self.slices => Reuse::Whole,
             StatePart::Slices => up_to(self.slices_bound, Reuse::AsBound),
-            // Under other settings a price is that of another load; it says nothing.
+            // Under other settings a price reflects a different load and is meaningless.
             StatePart::Prices if !same_settings => Reuse::Not,
             StatePart::Prices => up_to(self.prices, Reuse::Whole),
             StatePart::Evidence => up_to(self.evidence, Reuse::Whole),
@@ -141,19 +146,19 @@
     }
 }
 
-/// How far a return has come. Each phase is reached once, in this order.
+/// Phases of a recovery. Each is reached once, in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// The process runs.
+    /// The process is running.
     #[default]
     Started,
-    /// The shared store has answered, where there is one.
+    /// The shared store has responded, or there is none.
     StoreReached,
-    /// Both registers are confirmed, where there is agreement.
+    /// Both registers are confirmed, or there is no agreement.
     VersionsAgreed,
     /// Hosts are known, and those that take requests are warm.
     HostsWarm,
-    /// For a second nothing was turned away for want of a host, or by price.
+    /// For one second no request was refused for lack of a host or because of its price.
     FullService,
 }
 
@@ -169,23 +174,23 @@
     }
 }
 
-/// What a gateway sees of itself.
+/// What a gateway observes of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Observation {
-    /// The store answered, or there is none.
+    /// The store has responded, or there is none.
     pub store_reached: bool,
     /// The registers are confirmed, or there is no agreement.
     pub versions_agreed: bool,
-    /// Hosts are known and none of those in use is cold.
+    /// Hosts are known, and none of those in use is cold.
     pub hosts_warm: bool,
-    /// When something was last turned away for want of a host or by price.
+    /// When a request was last refused for lack of a host or because of its price.
     pub last_refused_at: Option<Ms>,
 }
 
-/// Nothing turned away for this long is full service.
+/// Time without refusals after which full service is reached.
 pub const FULL_SERVICE_QUIET_MS: Ms = 1000;
 
-/// The phases of one return.
+/// Tracks the phases of one recovery.
 #[derive(Debug)]
 pub struct RecoveryProgress {
     started: Ms,
@@ -193,19 +198,19 @@
 }
 
 impl RecoveryProgress {
-    /// A process that started at `now`.
+    /// Starts tracking for a process that started at `now`.
     #[must_use]
     pub fn new(now: Ms) -> Self {
         Self { started: now, phase: Phase::Started }
     }
 
-    /// The phase reached.
+    /// The last phase reached.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Looks at what there is at `now`; gives each phase that is reached by it, with how long after the start.
+    /// Advances with the observation at `now`. Returns each phase newly reached and the time since the start.
     pub fn observe(&mut self, now: Ms, observation: Observation) -> Vec<(Phase, Ms)> {
         let mut reached = Vec::new();
         let quiet_since = observation.last_refused_at.unwrap_or(self.started).max(self.started);
--- a/crates/recovery/src/tests.rs
+++ b/crates/recovery/src/tests.rs
@@ -1,4 +1,4 @@
-//! The decisions in virtual time.
+//! The recovery decisions in virtual time.
 
 use super::*;
 use proptest::prelude::*;
@@ -50,7 +50,7 @@
             })
             .collect()
     };
-    // Of 300 after six failures, no 100 ms of the last wait's second holds more than a fifth.
+    // After six failures of 300 gateways, no interval of 100 ms contains more than a fifth of the retries.
     let retry_times = after(6);
     let most = (0..30).map(|n| retry_times.iter().filter(|at| **at / 100 == n).count()).max();
     assert!(most.is_some_and(|most| most <= 60), "{most:?}");
