--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -1,4 +1,4 @@
-//! Where the loop meets the door: arrivals go in, what is handed on or refused comes out.
+//! Connects the event loop to the admission queue: passes arrivals in and carries out its decisions.
 
 use super::message::{Answer, Message};
 use super::streams::{refusal, SCARCE_HOLD_OFF};
@@ -12,44 +12,44 @@
 use std::hash::{BuildHasher, RandomState};
 use switchhill_door::{Action, Admission, AdmissionQueue, Arrival, Outcome, Refusal, Settings, TicketKeys};
 
-/// Share of the memory that the door takes: half a MiB of the least that a gateway gets.
+/// Divisor of the gateway's memory for the admission queue: half a MiB of the minimum that a gateway gets.
 const MEMORY_DIVISOR: usize = 32;
-/// Share of what streams may hold in memory that those at the door may.
+/// Divisor of the memory for streams that queued streams may occupy.
 const QUEUED_BYTES_DIVISOR: usize = 2;
-/// The class's time where a wait has no end.
+/// Timeout of requests that state none, and latency target of unknown classes.
 const UNBOUNDED_WAIT: Millis = 60_000.0;
 
-/// What the loop keeps of a stream that the door has seen.
+/// A stream known to the admission queue.
 struct TrackedStream {
     terms: Terms,
-    /// When it came; once it is handed on, when that was.
+    /// Time of its arrival or, once dispatched, of its dispatch.
     since: Millis,
     dispatched: bool,
     whole_seconds: bool,
 }
 
-/// The door and the streams that it knows of.
+/// The admission queue and the streams it knows.
 pub(super) struct StreamAdmission {
     queue: AdmissionQueue,
     latency_targets: Vec<Millis>,
     plans: Vec<String>,
     tracked: HashMap<StreamId, TrackedStream>,
-    /// Refused on arrival; their fronts are still at work with them.
+    /// Streams refused on arrival, while their connections are still being processed.
     refused: Vec<(StreamId, Refusal)>,
     actions: Vec<Action>,
 }
 
 impl StreamAdmission {
-    pub(super) fn new(wanted: &config::Door, told: &Told, memory: usize, most_held: usize) -> Self {
+    pub(super) fn new(operator: &config::Door, told: &Told, memory: usize, most_held: usize) -> Self {
         let plans = &told.module.plans;
         let weight_of = |n: usize, rate: f64| {
-            let weight = wanted.weights.iter().find(|(name, ..)| *name == told.plans[n]);
+            let weight = operator.weights.iter().find(|(name, ..)| *name == told.plans[n]);
             weight.map_or(if rate > 0.0 { rate } else { 1.0 }, |(_, weight, _)| *weight)
         };
-        // What the settings say of hold-offs stands over what the operator says.
+        // A maximum in the settings takes precedence over a larger one in the operator's file.
         let max_retry_after = match told.module.limits.max_hold_off {
-            most if most > 0.0 => most.min(wanted.longest_hold_off),
-            _ => wanted.longest_hold_off,
+            most if most > 0.0 => most.min(operator.longest_hold_off),
+            _ => operator.longest_hold_off,
         };
         let random = || RandomState::new().hash_one(0).to_le_bytes();
         let mut hash_key = [0; 16];
@@ -60,15 +60,15 @@
             plan_weights: plans.iter().enumerate().map(|(n, plan)| weight_of(n, plan.rate)).collect(),
             memory: memory / MEMORY_DIVISOR,
             max_queued_bytes: most_held / QUEUED_BYTES_DIVISOR,
-            max_queue_time: wanted.longest_wait,
-            max_queued_per_subscriber: wanted.per_subscriber,
-            limit: wanted.limit,
-            appointment_share: wanted.book_share,
+            max_queue_time: operator.longest_wait,
+            max_queued_per_subscriber: operator.per_subscriber,
+            limit: operator.limit,
+            appointment_share: operator.book_share,
             max_retry_after,
-            appointment_grace: wanted.grace,
+            appointment_grace: operator.grace,
             hash_key,
         });
-        queue.set_ticket_keys(wanted.keys.clone());
+        queue.set_ticket_keys(operator.keys.clone());
         Self {
             queue,
             latency_targets: told.module.classes.iter().map(|class| class.aim).collect(),
@@ -105,12 +105,12 @@
         }
     }
 
-    /// A stream's exchange is over, whatever became of it.
+    /// Removes a stream whose exchange is closed for any reason.
     pub(super) fn on_exchange_closed(&mut self, now: Millis, stream: StreamId) {
         self.on_completion(now, stream, Outcome::Ignored);
     }
 
-    /// A stream that was handed on has its answer.
+    /// Removes a stream that was dispatched and has completed, or that is still queued.
     pub(super) fn on_completion(&mut self, now: Millis, stream: StreamId, outcome: Outcome) {
         let Some(tracked) = self.tracked.remove(&stream) else { return };
         if tracked.dispatched {
@@ -120,7 +120,8 @@
         }
     }
 
-    /// The decisions have refused a stream: it has ended, and where they wanted room, what its client is told.
+    /// Removes a stream that the core has refused. Returns advice for its client if the refusal was for lack
+    /// of capacity.
     pub(super) fn refuse_after_dispatch(
         &mut self,
         now: Millis,
@@ -134,7 +135,7 @@
         no_capacity.then(|| self.queue.refuse_after_dispatch(now, &arrival))
     }
 
-    /// Its figures, in the form of the counters.
+    /// Metrics in the text format of the gateway's counters.
     pub(super) fn metrics_text(&self) -> String {
         let mut text = String::new();
         let (in_flight, limit) = self.queue.concurrency();
@@ -160,7 +161,7 @@
     }
 }
 
-/// The answer to a stream that the door refuses.
+/// The response to a stream that the admission queue refuses.
 pub(super) fn refusal_answer(advice: &Refusal, downstream: Downstream) -> Answer {
     let mut answer = refusal(advice.retry_after, downstream);
     if let Some(ticket) = &advice.ticket {
@@ -170,7 +171,7 @@
 }
 
 impl Gateway {
-    /// The answer to a request for which descriptors or memory are short.
+    /// The response to a request for which descriptors or memory are low.
     pub(super) fn refuse_low_resources(&mut self, downstream: Downstream, message: &Message) -> Answer {
         if let (Some(admission), Ok(terms)) = (&mut self.door, message.terms(&self.told)) {
             let arrival = admission.arrival(StreamId::MAX, &terms, downstream.whole_seconds());
@@ -179,7 +180,7 @@
         refusal(SCARCE_HOLD_OFF, downstream)
     }
 
-    /// Passes a stream by the door, if there is one, to the core.
+    /// Submits a stream to the admission queue, or to the core if there is none.
     pub(super) fn submit_to_admission(&mut self, id: StreamId, terms: Terms) {
         let Some(admission) = &mut self.door else {
             self.inputs.push(Input::StreamArrived(id, terms));
@@ -189,8 +190,8 @@
         let whole_seconds = downstream.whole_seconds();
         let arrival = Arrival {
             bytes: message.size(),
-            // Held streams keep a descriptor and their bytes: nothing is held once three quarters of the one or
-            // half of the other are taken.
+            // A queued stream occupies a descriptor and its bytes. Nothing is queued once three quarters of
+            // the descriptors or half of the bytes are in use.
             resources_low: self.downstreams * 4 > self.most_downstreams * 3
                 || self.held_bytes * 2 > self.most_held,
             ticket: message.ticket(),
@@ -209,12 +210,12 @@
                 admission.tracked.insert(id, tracked);
             }
             Admission::Queued => drop(admission.tracked.insert(id, tracked)),
-            // Its front still has its connection in hand: the answer goes out later in this round.
+            // The caller still holds the connection, so the response is sent later in this round.
             Admission::Refused(refusal) => admission.refused.push((id, refusal)),
         }
     }
 
-    /// Carries out what the door has decided since the last round.
+    /// Carries out the decisions of the admission queue since the last round.
     pub(super) fn poll_admission(&mut self) {
         let Some(admission) = &mut self.door else { return };
         let mut refused = std::mem::take(&mut admission.refused);
@@ -243,7 +244,7 @@
             self.answer(exchange.downstream, exchange.deadline, answer);
         }
         if let Some(admission) = &mut self.door {
-            // What the answers let in may be refused in turn.
+            // Requests read after these responses may have been refused in turn.
             refused.append(&mut admission.refused);
             admission.refused = refused;
         }
