--- a/crates/door/benches/door.rs
+++ b/crates/door/benches/door.rs
@@ -1,4 +1,4 @@
-//! What the door costs: a pass without pressure, and a place in its queue with few and with many subscribers.
+//! Cost of the admission queue: admission below the limit, and queueing with few and with many subscribers.
 
 use divan::{black_box, Bencher};
 use switchhill_door::{Action, Admission, AdmissionQueue, Arrival, Outcome, Settings};
@@ -18,7 +18,7 @@
     }
 }
 
-/// In and out while there is room: what every stream pays on a calm day.
+/// Arrival and completion below the limit: the overhead of every stream without contention.
 #[divan::bench]
 fn uncontended(bencher: Bencher) {
     let mut queue = AdmissionQueue::new(Settings::default());
@@ -32,7 +32,7 @@
     });
 }
 
-/// One stream in and one out, with so many subscribers waiting, one stream each.
+/// One stream queued and one dispatched, with `flows` subscribers that have one stream queued each.
 #[divan::bench(args = [100, 10_000, 50_000])]
 fn queued(bencher: Bencher, flows: u64) {
     let mut queue = AdmissionQueue::new(Settings {
@@ -43,7 +43,7 @@
         ..Settings::default()
     });
     let now = 1e12;
-    // A rate that lets so many client_timeout: measured as streams pass.
+    // Completions keep the measured rate high enough for that many streams to be queued.
     queue.on_arrival(now, &arrival(0, 0));
     let mut stream = 0;
     let mut actions = Vec::new();
--- a/crates/door/src/active_weight.rs
+++ b/crates/door/src/active_weight.rs
@@ -1,14 +1,15 @@
-//! Who wants something of late: the weight of all subscribers that came in the last seconds, by linear counting
-//! (Whang, Vander-Zanden, Taylor 1990) over two windows that take turns.
+//! Total weight of recently active subscribers, estimated by linear counting (Whang, Vander-Zanden, Taylor
+//! 1990) over two alternating windows.
 
 use crate::bitmap::Bitmap;
 use crate::finish_tags::Flow;
 use crate::Millis;
 
-/// Shares are compared over about this long: a subscriber counts as active until a window without it is over.
+/// Length of a window. A subscriber counts as active until a full window has passed without a request from
+/// it.
 const WINDOW_LEN: Millis = 2000.0;
 
-/// The weight of active subscribers.
+/// Weight of the active subscribers in the current and the previous window.
 #[derive(Debug)]
 pub(crate) struct ActiveWeight {
     seen: Bitmap,
@@ -18,7 +19,8 @@
 }
 
 impl ActiveWeight {
-    /// For so many subscribers in a window; of more, some are not counted.
+    /// Sizes the bitmap for `subscribers` per window. With more of them, hash collisions leave some
+    /// uncounted.
     pub(crate) fn new(subscribers: usize) -> Self {
         let seen = (4 * subscribers).next_power_of_two().max(64);
         Self { seen: Bitmap::new(seen, false), weight: 0.0, previous_weight: 0.0, window_start: 0.0 }
@@ -27,7 +29,8 @@
     pub(crate) fn record(&mut self, now: Millis, flow: Flow, weight: f64) {
         let age = now - self.window_start;
         if age >= WINDOW_LEN {
-            // After a silence the window before last would count as the last.
+            // After an idle period the stored weight belongs to a window before the previous one and is
+            // discarded.
             self.previous_weight = if age < 2.0 * WINDOW_LEN { self.weight } else { 0.0 };
             self.seen.fill(false);
             (self.weight, self.window_start) = (0.0, now);
@@ -39,7 +42,7 @@
         }
     }
 
-    /// The weight of all that are active, 1 at the least.
+    /// The total weight of active subscribers, at least 1.
     pub(crate) fn weight(&self) -> f64 {
         self.weight.max(self.previous_weight).max(1.0)
     }
--- a/crates/door/src/admission_queue.rs
+++ b/crates/door/src/admission_queue.rs
@@ -1,4 +1,4 @@
-//! The door: its state, how it is built and what it tells of itself.
+//! State, construction and introspection of the admission queue.
 
 mod appointments;
 mod arrivals;
@@ -19,21 +19,21 @@
 use crate::Millis;
 use hdrhistogram::Histogram;
 
-/// Memory for one stream that can be held: its node and its cells in the sketch, rounded up.
+/// Memory budgeted for one queued stream: its queue node and its cells in the sketch, rounded up.
 const BYTES_PER_STREAM: usize = 768;
-/// Subscribers whose counts are kept.
+/// Number of subscribers whose request counts are tracked.
 const HEAVY_HITTER_COUNT: usize = 32;
-/// The longest time that a histogram tells apart, in tenths of a millisecond.
+/// Upper bound of the sojourn histograms, in tenths of a millisecond.
 const MAX_SOJOURN_TENTHS_MS: u64 = 600_000;
 
-/// The door.
+/// Admits, queues or refuses streams before they reach the gateway's routing decisions.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     settings: Settings,
-    /// Virtual cost of one unit by plan: 1 for the lightest.
+    /// Virtual cost of one unit for each plan; 1 for the plan with the lowest weight.
     unit_costs: Vec<f64>,
     tags: FinishTags,
-    /// The same for what is booked and not yet kept.
+    /// Finish tags of appointments that are reserved and not yet redeemed.
     booked_tags: FinishTags,
     queue: Queue,
     limit: ConcurrencyLimit,
@@ -44,7 +44,7 @@
     heavy_hitters: HeavyHitters,
     sojourn: Vec<Histogram<u32>>,
     counters: Counters,
-    /// Streams handed on and not ended.
+    /// Streams dispatched and not yet completed.
     in_flight: usize,
     virtual_time: f64,
     active_weight: ActiveWeight,
@@ -52,19 +52,19 @@
     window: RateWindow,
     rate: SmoothedRate,
     virtual_time_rate: SmoothedRate,
-    /// Time in flight, smoothed.
+    /// Smoothed time from dispatch to completion.
     service_time: SmoothedRate,
     interval_position: u32,
     refusal_count: u64,
-    /// What was pushed out since the last poll.
+    /// Refusals of streams evicted since the last poll.
     evicted: Vec<Action>,
 }
 
 impl AdmissionQueue {
-    /// Builds a door; all its memory is taken here.
+    /// Creates an admission queue and allocates all of its memory.
     ///
     /// # Panics
-    /// When a setting is out of the range its field states.
+    /// If a setting is outside the range that its field documents.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         assert!(settings.memory >= 64 << 10, "memory must be at least 64 KiB");
@@ -117,42 +117,44 @@
         }
     }
 
-    /// Takes over keys for tickets; without any, none are given or honoured.
+    /// Replaces the keys for tickets. Without keys, tickets are neither issued nor accepted.
     pub fn set_ticket_keys(&mut self, keys: TicketKeys) {
         self.keys = keys;
     }
 
-    /// What has been counted.
+    /// Counters since the queue was created.
     #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Streams that are held now.
+    /// Number of streams queued now.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Streams handed on and not ended, and how many may be.
+    /// Streams in flight and the current concurrency limit.
     #[must_use]
     pub fn concurrency(&self) -> (usize, f64) {
         (self.in_flight, self.limit.value())
     }
 
-    /// How long streams of each plan were held, in tenths of a millisecond; those that passed at once count 0.
+    /// Histograms of the queueing time for each plan, in tenths of a millisecond. Streams admitted at once
+    /// count as 0.
     #[must_use]
     pub fn sojourn(&self) -> &[Histogram<u32>] {
         &self.sojourn
     }
 
-    /// The busiest subscribers while streams were held, the busiest first.
+    /// The subscribers with the most requests during contention, in descending order of their guaranteed
+    /// count.
     #[must_use]
     pub fn heavy_hitters(&self) -> Vec<HeavyHitter> {
         self.heavy_hitters.entries()
     }
 
-    /// Bytes taken at the start.
+    /// Bytes allocated at construction.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         let histograms: usize = self.sojourn.iter().map(|h| h.distinct_values() * 4).sum();
--- a/crates/door/src/admission_queue/appointments.rs
+++ b/crates/door/src/admission_queue/appointments.rs
@@ -1,4 +1,4 @@
-//! Appointments: given to those refused, kept by those who come back.
+//! Appointments: times reserved for refused clients to retry, and their redemption.
 
 use super::throughput::MIN_RETRY_AFTER;
 use super::AdmissionQueue;
@@ -11,7 +11,7 @@
 use crate::Millis;
 
 impl AdmissionQueue {
-    /// The appointment that an arrival keeps: when it was.
+    /// Redeems the appointment that an arrival comes for and returns the time it was for.
     pub(super) fn redeem_appointment(
         &mut self,
         now: Millis,
@@ -42,7 +42,8 @@
         }
         let flow = self.appointment_flow(client);
         let (due, number) = self.pending_appointments.claim(now, flow)?;
-        // An appointment known by its subscriber must not be kept a second time by its ticket.
+        // An appointment claimed through the subscriber's identity must not be redeemed again through its
+        // ticket.
         if self.keys.can_sign() && self.replay_cache.insert(now, number).is_err() {
             return None;
         }
@@ -73,12 +74,13 @@
         }
     }
 
-    /// The name that a client's appointments go by.
+    /// The flow that identifies a client's appointments.
     fn appointment_flow(&self, client: ClientInfo) -> Flow {
         self.tags.flow(client.subscriber, 1 + client.class as u64)
     }
 
-    /// Words a refusal: an appointment, no sooner than the subscriber's turn, if the book has room.
+    /// Builds the advice for a refused client: an appointment no earlier than the subscriber's fair turn, if
+    /// the slot table has capacity.
     pub(super) fn refuse(
         &mut self,
         now: Millis,
@@ -99,13 +101,14 @@
         let until = now + self.settings.max_retry_after;
         let step = client.whole_seconds.then_some(1000.0);
         self.refusal_count += 1;
-        // One that asks ten times would be given ten of the next places. What it has booked counts like
-        // what it has used, in tags of their own: an appointment that is not kept costs it nothing in the queue.
+        // Without this, a subscriber that sends ten requests would reserve ten of the next slots. Reserved
+        // capacity is charged like used capacity, but in separate tags, so that a missed appointment costs
+        // the subscriber nothing in the queue.
         let flow = self.flow(client.subscriber);
         let next_tag = self.booked_tags.finish(flow).max(start);
         let earliest = now + self.time_until_tag(now, next_tag);
-        // Few come back for a turn that is further away than they wait for an answer, and who does not come would
-        // only put its own next turn off.
+        // Few clients return for a turn that is later than their own timeout, and a reservation that is not
+        // redeemed would only postpone the subscriber's next turn.
         let booking_limit_reached = next_tag - self.virtual_time
             >= (self.settings.max_queued_per_subscriber * cost).min(HORIZON)
             || (next_tag > start && earliest - now > client.client_timeout);
@@ -122,13 +125,13 @@
                 return Refusal { retry_after, ticket: None };
             }
             self.counters.book_full += 1;
-            // Nobody is promised anything, and still they must not all come at once: the golden ratio spreads
-            // whatever comes one after the other evenly over the last quarter.
+            // No time is reserved here, and the retries still must not arrive together: multiples of the
+            // golden ratio spread consecutive refusals evenly over the last quarter of the interval.
             let spread = (self.refusal_count as f64 * 0.618_033_988_749_895).fract();
             let retry_after = self.settings.max_retry_after * (0.75 + 0.25 * spread);
             return Refusal { retry_after, ticket: None };
         };
-        // Whole milliseconds, as the answer tells them.
+        // The response carries the time in whole milliseconds.
         let due = due.ceil();
         self.counters.appointments += 1;
         self.booked_tags.raise(flow, next_tag + cost);
@@ -142,12 +145,14 @@
         Refusal { retry_after: due - now, ticket: self.keys.sign(ticket) }
     }
 
-    /// The decisions behind the door have refused a stream for want of room: what its client is told.
+    /// Returns the advice for a client whose stream the routing core refused for lack of capacity after
+    /// dispatch.
     pub fn refuse_after_dispatch(&mut self, now: Millis, arrival: &Arrival<'_>) -> Refusal {
         self.refuse_arrival(now, arrival, RefusalCause::AfterDispatch)
     }
 
-    /// The caller has no descriptor or memory for a stream: what its client is told.
+    /// Returns the advice for a client whose stream the caller cannot accept for lack of descriptors or
+    /// memory.
     pub fn refuse_low_resources(&mut self, now: Millis, arrival: &Arrival<'_>) -> Refusal {
         self.refuse_arrival(now, arrival, RefusalCause::LowResources)
     }
--- a/crates/door/src/admission_queue/arrivals.rs
+++ b/crates/door/src/admission_queue/arrivals.rs
@@ -1,4 +1,4 @@
-//! Streams that arrive: passed at once, held, or refused.
+//! Arrivals: admission, queueing or refusal.
 
 use super::throughput::NEWCOMER_INTERVAL;
 use super::AdmissionQueue;
@@ -7,13 +7,14 @@
 use crate::queue::{QueuedStream, HORIZON};
 use crate::Millis;
 
-/// Streams count as pressed for this long after the last was held: what passes is charged to its subscriber.
+/// Contention is assumed to last for this long after a stream was last queued. Meanwhile admitted streams are
+/// charged to their subscribers.
 pub(super) const CONTENTION_PERIOD: Millis = 1000.0;
-/// The wait foreseen may be wrong by this factor: who is held and then refused has lost that time.
+/// Safety factor on the estimated wait. A stream that is queued and then refused has lost its queueing time.
 const WAIT_ESTIMATE_MARGIN: f64 = 1.2;
 
 impl AdmissionQueue {
-    /// A stream has come to the door.
+    /// Decides about a stream that has arrived.
     pub fn on_arrival(&mut self, now: Millis, arrival: &Arrival<'_>) -> Admission {
         let client = ClientInfo::from(arrival);
         let appointment = self.redeem_appointment(now, arrival, client);
@@ -46,7 +47,7 @@
             subscriber: arrival.subscriber,
             class: arrival.class as u16,
             plan: arrival.plan as u16,
-            // Who comes late is owed its place from then on.
+            // For a late client the appointment counts from its arrival.
             appointment: appointment.map_or(0.0, |due| due.max(now)),
             whole_seconds: arrival.whole_seconds,
             bytes: arrival.bytes.min(u32::MAX as usize) as u32,
@@ -58,7 +59,7 @@
             if in_time && !arrival.resources_low && !over_byte_limit && self.make_room(now, f64::NEG_INFINITY)
             {
                 self.counters.held += 1;
-                // Who comes by appointment goes first and is charged like everybody.
+                // A client with an appointment is served first and charged like any other.
                 self.tags.raise(flow, start + cost);
                 self.queue.push(entry, true);
                 return Admission::Queued;
@@ -95,12 +96,13 @@
         Admission::Admitted
     }
 
-    /// Makes room for one with this start tag by pushing out one of a longer queue; false where there is none.
+    /// Ensures that a stream with start tag `start` can be queued, by evicting a stream of a longer flow if
+    /// the queue is full. Returns false if there is none to evict.
     fn make_room(&mut self, now: Millis, start: f64) -> bool {
         if !self.queue.is_full() {
             return true;
         }
-        // The highest start tag is the tail of the queue that is longest by weight.
+        // The highest start tag marks the tail of the flow with the longest backlog relative to its weight.
         let Some(evicted) = self.queue.highest_tag().filter(|tail| tail.start > start).copied() else {
             return false;
         };
@@ -116,7 +118,8 @@
         true
     }
 
-    /// Streams a millisecond that can be handed on besides those with an appointment in the coming time.
+    /// Dispatch rate, in streams per millisecond, left for streams without an appointment within the next
+    /// `within` milliseconds.
     fn newcomer_rate(&self, now: Millis, within: Millis) -> f64 {
         let rate = self.dispatch_rate(now);
         let reserved = self.slot_table.reserved_within(now, within) / within.max(1.0);
--- a/crates/door/src/admission_queue/dispatch.rs
+++ b/crates/door/src/admission_queue/dispatch.rs
@@ -1,4 +1,4 @@
-//! What is handed on, what is held, and how both end.
+//! Dispatch of queued streams, their expiry, and completion.
 
 use super::arrivals::CONTENTION_PERIOD;
 use super::throughput::NEWCOMER_INTERVAL;
@@ -9,11 +9,11 @@
 use crate::queue::QueuedStream;
 use crate::Millis;
 
-/// Weight of one stream in the time in flight.
+/// Weight of one sample in the smoothed service time.
 const SERVICE_TIME_GAIN: f64 = 0.02;
 
 impl AdmissionQueue {
-    /// One more is in flight, after so long at the door.
+    /// Accounts for a stream that goes into flight after `waited` milliseconds in the queue.
     pub(super) fn record_dispatch(&mut self, plan: usize, waited: Millis) {
         self.in_flight += 1;
         self.limit.on_dispatch(self.in_flight);
@@ -23,18 +23,19 @@
         }
     }
 
-    /// A stream that was handed on has ended, `took` milliseconds after that.
+    /// Records that a dispatched stream has completed, `took` milliseconds after its dispatch.
     pub fn on_completion(&mut self, now: Millis, class: usize, took: Millis, outcome: Outcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if outcome == Outcome::Success {
             self.service_time.update(now, took, SERVICE_TIME_GAIN);
-            // A value of 0 counts as none.
+            // `SmoothedRate` treats a value of 0 as no measurement.
             self.service_time.value = self.service_time.value.max(0.1);
         }
         self.limit.on_completion(now, class, took, outcome);
     }
 
-    /// The client of a stream has gone away. True if it was held; else the caller tells its end.
+    /// Removes a stream whose client has disconnected. Returns true if it was queued; otherwise the caller
+    /// must report its completion.
     pub fn cancel(&mut self, stream: u64) -> bool {
         let Some(entry) = self.queue.remove(stream) else { return false };
         self.counters.left += 1;
@@ -42,7 +43,7 @@
         true
     }
 
-    /// When [`AdmissionQueue::poll`] wants to be called at the latest.
+    /// The latest time at which [`AdmissionQueue::poll`] must be called.
     #[must_use]
     pub fn next_poll_at(&self) -> Option<Millis> {
         if !self.evicted.is_empty() || (self.queue.len() > 0 && self.limit.has_room(self.in_flight)) {
@@ -51,7 +52,7 @@
         self.queue.next_deadline()
     }
 
-    /// Hands on what there is room for and refuses what has waited too long.
+    /// Dispatches queued streams up to the concurrency limit and refuses those whose deadline has passed.
     pub fn poll(&mut self, now: Millis, actions: &mut Vec<Action>) {
         actions.append(&mut self.evicted);
         if self.queue.len() == 0 {
--- a/crates/door/src/bitmap.rs
+++ b/crates/door/src/bitmap.rs
@@ -1,11 +1,10 @@
-//! A row of bits of fixed length, searched by words.
+//! Fixed-size bitmap that is searched a word at a time.
 
-/// The bits.
 #[derive(Debug)]
 pub(crate) struct Bitmap(Box<[u64]>);
 
 impl Bitmap {
-    /// `count` bits, rounded up to whole words, all alike.
+    /// Creates a bitmap of `count` bits, rounded up to whole words, all set to `value`.
     pub(crate) fn new(count: usize, value: bool) -> Self {
         Self(vec![if value { u64::MAX } else { 0 }; count.div_ceil(64)].into())
     }
@@ -27,7 +26,7 @@
         }
     }
 
-    /// The first that is set at or after `from` and before `to`.
+    /// The index of the first set bit in `from..to`.
     pub(crate) fn first_set(&self, from: usize, to: usize) -> Option<usize> {
         let mut word = from / 64;
         let mut bits = self.0.get(word)? & (u64::MAX << (from % 64));
@@ -44,7 +43,7 @@
         }
     }
 
-    /// The last that is set before `to` and at or after `from`.
+    /// The index of the last set bit in `from..to`.
     pub(crate) fn last_set(&self, from: usize, to: usize) -> Option<usize> {
         let end = to.checked_sub(1)?;
         let mut word = end / 64;
@@ -62,7 +61,7 @@
         }
     }
 
-    /// How many there are.
+    /// Number of bits.
     pub(crate) fn len(&self) -> usize {
         self.0.len() * 64
     }
--- a/crates/door/src/client_info.rs
+++ b/crates/door/src/client_info.rs
@@ -1,10 +1,10 @@
-//! Whom a refusal concerns, and why.
+//! The client behind a stream, and the causes of a refusal.
 
 use crate::message::Arrival;
 use crate::queue::QueuedStream;
 use crate::Millis;
 
-/// Why a stream is refused, for the figures.
+/// Why a stream is refused; selects the counter.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum RefusalCause {
     SubscriberLimit,
@@ -15,13 +15,13 @@
     AfterDispatch,
 }
 
-/// Who a refusal concerns.
+/// What the admission queue needs to know of a client to advise it when to retry.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ClientInfo {
     pub(crate) subscriber: u64,
     pub(crate) class: usize,
     pub(crate) whole_seconds: bool,
-    /// How long it waits for an answer.
+    /// How long the client waits for a response.
     pub(crate) client_timeout: Millis,
 }
 
@@ -38,7 +38,7 @@
             subscriber: entry.subscriber,
             class: usize::from(entry.class),
             whole_seconds: entry.whole_seconds,
-            // It was held for a quarter of its time at the most.
+            // A stream is queued for at most a quarter of its client's timeout.
             client_timeout: 4.0 * (entry.deadline - entry.arrived),
         }
     }
--- a/crates/door/src/concurrency_limit.rs
+++ b/crates/door/src/concurrency_limit.rs
@@ -1,38 +1,39 @@
-//! How many streams are handed on at once: a limit that learns what the fleet bears.
+//! Adaptive limit on the number of streams in flight.
 //!
-//! Time from handing on to the answer is compared with the time that the same class takes when nothing waits
-//! (TCP Vegas, Brakmo and Peterson 1995, in the form of Netflix's gradient limits). Turned down by what the
-//! decisions behind the door refuse for want of room, as a loss signal. From time to time the limit steps back
-//! to learn the unloaded time anew (as BBR does, Cardwell et al. 2016).
+//! The time from dispatch to response is compared with the unloaded time of the same class (TCP Vegas, Brakmo
+//! and Peterson 1995, in the form of Netflix's gradient limits). Streams that the routing core refuses for
+//! lack of capacity are a loss signal and lower the limit as well. Periodically the limit is reduced to
+//! measure the unloaded time again (as in BBR, Cardwell et al. 2016).
 
 use crate::Millis;
 
-/// A window is over after this long and this many ends, or after the longer time with any.
+/// A window closes after `WINDOW_LEN` with at least `WINDOW_COMPLETIONS` completions, or at the first
+/// completion after `WINDOW_MAX_LEN`.
 const WINDOW_LEN: Millis = 100.0;
 const WINDOW_COMPLETIONS: u32 = 20;
 const WINDOW_MAX_LEN: Millis = 500.0;
-/// Time in flight may be this multiple of the unloaded time before the limit falls: what keeps the fleet busy
-/// between two of the loop's rounds.
+/// The limit falls when latency exceeds the unloaded time by more than this factor. The slack keeps the fleet
+/// busy between two rounds of the event loop.
 const LATENCY_TOLERANCE: f64 = 1.5;
-/// A share of ends without room above which the limit falls.
+/// Share of dropped streams above which the limit falls.
 const TOLERATED_DROP_SHARE: f64 = 0.02;
-/// The unloaded time is the lowest of two such spans.
+/// The unloaded time is the lowest mean in the current and the previous period of this length.
 const BASELINE_PERIOD: Millis = 15_000.0;
-/// At a span's end the limit steps back for so many windows, to this share of what the fleet seems to hold
-/// without a line.
+/// At the end of a period the limit is reduced for `PROBE_WINDOWS` windows to this share of the estimated
+/// number of streams that the fleet serves without queueing.
 const PROBE_FACTOR: f64 = 0.7;
 const PROBE_WINDOWS: u32 = 3;
-/// Ends of a class that make a mean.
+/// Minimum number of completions of a class for a mean.
 const MIN_SAMPLES: u32 = 5;
 
-/// How a stream that was handed on has ended.
+/// How a dispatched stream has completed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Served by an upstream host.
     Success,
-    /// Turned away for want of room, or out of time.
+    /// Refused for lack of capacity, or timed out.
     Dropped,
-    /// Anything else: it tells nothing of the fleet's load.
+    /// Completed in another way, which says nothing about the load of the fleet.
     Ignored,
 }
 
@@ -40,7 +41,7 @@
 struct Class {
     sum: Millis,
     samples: u32,
-    /// The lowest mean of this span and of the one before; 0 for none.
+    /// The lowest mean of the current and of the previous period; 0 if there is none.
     lowest: Millis,
     previous_lowest: Millis,
 }
@@ -54,13 +55,13 @@
     }
 }
 
-/// The limit.
+/// The current limit and the measurements behind it.
 #[derive(Debug)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
     min: f64,
     max: f64,
-    /// Doubling until the first sign of pressure.
+    /// The limit doubles until the first sign of overload.
     slow_start: bool,
     classes: Box<[Class]>,
     window_start: Millis,
@@ -94,12 +95,12 @@
         self.limit
     }
 
-    /// Whether `open` leaves room for one more.
+    /// Whether another stream may be dispatched while `in_flight` are in flight.
     pub(crate) fn has_room(&self, in_flight: usize) -> bool {
         (in_flight as f64) < self.limit
     }
 
-    /// So many are in flight now.
+    /// Records the number of streams in flight after a dispatch.
     pub(crate) fn on_dispatch(&mut self, in_flight: usize) {
         self.peak_in_flight = self.peak_in_flight.max(in_flight as f64);
     }
@@ -122,7 +123,8 @@
         }
     }
 
-    /// The unloaded time over that of this window, 1 where nothing is known, weighed by ends.
+    /// The ratio of the unloaded time to that of the window, averaged over classes by their completions; 1
+    /// without measurements.
     fn unloaded_ratio(&mut self) -> f64 {
         let (mut sum, mut weight) = (0.0, 0.0);
         for class in &mut self.classes {
@@ -163,7 +165,8 @@
             self.limit *= 1.0 - 0.5 * drop_share.min(0.4);
         } else if gradient < 1.0 {
             self.slow_start = false;
-            // A window is short against the fleet's own swings: a part of the way at a time.
+            // A window is short compared with the load swings of the fleet, so the limit moves only part of
+            // the way.
             self.limit *= 1.0 - 0.2 * (1.0 - gradient.max(0.5));
         } else if limit_reached {
             self.limit += if self.slow_start { self.limit } else { self.limit.sqrt() };
@@ -174,8 +177,8 @@
             for class in &mut self.classes {
                 (class.previous_lowest, class.lowest) = (class.lowest, 0.0);
             }
-            // Under lasting pressure nothing shows the unloaded time, and the lowest mean of the last
-            // span would be a loaded one: the limit would climb from span to span.
+            // Under sustained load no sample shows the unloaded time. The lowest mean of the last period
+            // would be a loaded one, and the limit would climb from period to period.
             if limit_reached {
                 self.limit_before_probe = self.limit;
                 self.limit = (self.limit * unloaded_ratio * PROBE_FACTOR).max(self.min);
--- a/crates/door/src/counters.rs
+++ b/crates/door/src/counters.rs
@@ -1,13 +1,13 @@
-//! Counts since the start.
+//! Counters since the admission queue was created.
 
-macro_rules! figures {
+macro_rules! counters {
     ($($(#[doc = $doc:literal])* $name:ident),* $(,)?) => {
-        /// What the door has counted since its start.
+        /// Counters since the admission queue was created. The metrics use the field names.
         #[derive(Debug, Clone, Default, PartialEq, Eq)]
         pub struct Counters { $($(#[doc = $doc])* pub $name: u64),* }
 
         impl Counters {
-            /// Names and values.
+            /// Names and values of all counters.
             #[must_use]
             pub fn entries(&self) -> Vec<(&'static str, u64)> {
                 vec![$((stringify!($name), self.$name)),*]
@@ -16,53 +16,53 @@
     };
 }
 
-figures! {
-    /// Streams that passed at once.
+counters! {
+    /// Streams admitted at once.
     passed,
-    /// Streams that were held.
+    /// Streams queued.
     held,
-    /// Streams handed on after having been held.
+    /// Streams dispatched after having been queued.
     handed_on,
-    /// Streams whose client left while they were held.
+    /// Streams whose client disconnected while they were queued.
     left,
-    /// Refused on arrival: the subscriber has as much waiting as it may.
+    /// Refused on arrival: the subscriber has reached its limit of queued requests.
     refused_subscriber,
-    /// Refused on arrival: the wait would have been too long.
+    /// Refused on arrival: the expected wait was too long.
     refused_wait,
-    /// Refused: no place, or pushed out by one of a shorter queue.
+    /// Refused because the queue was full, or evicted in favor of a shorter flow.
     refused_room,
-    /// Refused on arrival: descriptors or memory were short.
+    /// Refused on arrival: descriptors or memory were low.
     refused_scarce,
-    /// Refused after having been held as long as it may.
+    /// Refused after the maximum time in the queue.
     refused_overdue,
-    /// Refused behind the door for want of room, and given an appointment here.
+    /// Refused after dispatch for lack of capacity, and given an appointment.
     refused_behind,
-    /// Appointments given.
+    /// Appointments made.
     appointments,
-    /// Refused without one: the subscriber has as many as it may have waiting.
+    /// Refused without an appointment: the subscriber has reached its limit of pending ones.
     booked_enough,
-    /// Refused without one: the book was full.
+    /// Refused without an appointment: the slot table was full.
     book_full,
-    /// Appointments that could not be remembered here; a ticket still counts.
+    /// Appointments that did not fit into the table of pending ones; their tickets are still valid.
     appointments_unnoted,
-    /// Clients that came back when told.
+    /// Appointments redeemed.
     kept,
-    /// Those handed on within 500 ms of the time told, or of their coming where that was later.
+    /// Redeemed appointments dispatched within 500 ms of their time, or of the arrival if that was later.
     met,
-    /// Those handed on later, or not at all.
+    /// Redeemed appointments dispatched later or not at all.
     missed,
-    /// Tickets honoured.
+    /// Tickets accepted.
     tickets_kept,
-    /// Tickets in no form that is known.
+    /// Tickets with an unknown format.
     tickets_malformed,
-    /// Tickets that no key has signed.
+    /// Tickets whose signature matches no key.
     tickets_forged,
-    /// Tickets before their time or after it.
+    /// Tickets presented too early or too late.
     tickets_untimely,
-    /// Tickets of another subscriber or class.
+    /// Tickets issued to another subscriber or for another class.
     tickets_foreign,
-    /// Tickets used before.
+    /// Tickets that were used before.
     tickets_replayed,
-    /// Tickets that could not be remembered and were not honoured.
+    /// Tickets rejected because the replay cache was full.
     tickets_no_room,
 }
--- a/crates/door/src/heavy_hitters.rs
+++ b/crates/door/src/heavy_hitters.rs
@@ -1,17 +1,18 @@
-//! The busiest subscribers, in bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi, ICDT 2005).
+//! The subscribers with the most requests, in bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi,
+//! ICDT 2005).
 
-/// One subscriber and its count, too high by `error` at the most.
+/// A subscriber and its estimated request count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeavyHitter {
-    /// Who.
+    /// The subscriber.
     pub subscriber: u64,
-    /// How often it came while streams were held or refused.
+    /// Number of requests during contention.
     pub count: u64,
-    /// By how much the count may be too high.
+    /// Maximum overestimate of `count`.
     pub error: u64,
 }
 
-/// The counts of a fixed number of subscribers.
+/// Counts for a fixed number of subscribers.
 #[derive(Debug)]
 pub(crate) struct HeavyHitters {
     counts: Vec<HeavyHitter>,
@@ -26,7 +27,7 @@
     pub(crate) fn record(&mut self, subscriber: u64) {
         if let Some(index) = self.counts.iter().position(|hitter| hitter.subscriber == subscriber) {
             self.counts[index].count += 1;
-            // The busiest lie in front, where they are found first.
+            // The highest counts move to the front, where the linear search finds them first.
             if index > 0 && self.counts[index - 1].count < self.counts[index].count {
                 self.counts.swap(index - 1, index);
             }
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Those certain to be busy first.
+    /// All entries, in descending order of their guaranteed count.
     pub(crate) fn entries(&self) -> Vec<HeavyHitter> {
         let mut sorted = self.counts.clone();
         sorted.sort_by_key(|hitter| std::cmp::Reverse(hitter.count - hitter.error));
--- a/crates/door/src/lib.rs
+++ b/crates/door/src/lib.rs
@@ -1,19 +1,29 @@
-//! The door: fair queues by subscriber, a limit that learns, and appointments for those refused.
+//! Admission queue of a gateway: fair queueing by subscriber, an adaptive concurrency limit, and appointments
+//! that tell refused clients when to retry.
 //!
-//! It stands between a gateway's fronts and its decisions. While there is room everything passes at once. When
-//! the fleet is pressed, streams wait in queues that are fair by subscriber and weighted by plan, for a bounded
-//! time, and what cannot be reached in that time is refused on arrival with a time at which there will be room.
+//! It stands between the gateway's client connections and its routing core. Below the concurrency limit every
+//! stream is admitted at once. When the fleet is at its limit, streams wait for a bounded time in queues that
+//! are fair by subscriber and weighted by plan. A stream that cannot be served in that time is refused on
+//! arrival with a time at which there will be capacity.
 //!
-//! Everything here is a state machine without I/O: the caller tells what happened and when, and carries out what
-//! comes back. Times are milliseconds; [`AdmissionQueue`] wants Unix time, as tickets pass between gateways.
+//! Everything here is a state machine without I/O: the caller reports events with their times and carries out
+//! the resulting actions. Times are milliseconds; [`AdmissionQueue`] needs Unix time because tickets are
+//! exchanged between gateways.
 //!
 //! ```
-//! use switchhill_door::{Admission, Arrival, AdmissionQueue, Outcome, Settings};
+//! use switchhill_door::{Admission, AdmissionQueue, Arrival, Outcome, Settings};
 //!
-//! let mut door = AdmissionQueue::new(Settings { class_count: 1, plan_weights: vec![1.0], ..Settings::default() });
-//! let arrival = Arrival { stream: 1, subscriber: 7, client_timeout: 1000.0, latency_target: 500.0, ..Arrival::default() };
-//! assert_eq!(door.on_arrival(1.0, &arrival), Admission::Admitted);
-//! door.on_completion(9.0, 0, 8.0, Outcome::Success);
+//! let mut queue =
+//!     AdmissionQueue::new(Settings { class_count: 1, plan_weights: vec![1.0], ..Settings::default() });
+//! let arrival = Arrival {
+//!     stream: 1,
+//!     subscriber: 7,
+//!     client_timeout: 1000.0,
+//!     latency_target: 500.0,
+//!     ..Arrival::default()
+//! };
+//! assert_eq!(queue.on_arrival(1.0, &arrival), Admission::Admitted);
+//! queue.on_completion(9.0, 0, 8.0, Outcome::Success);
 //! ```
 mod active_weight;
 mod admission_queue;
@@ -38,5 +48,5 @@
 pub use settings::Settings;
 pub use ticket::{TicketKeys, TICKET_LEN};
 
-/// A point in time or a span, in milliseconds.
+/// A time or a duration, in milliseconds.
 pub type Millis = f64;
--- a/crates/door/src/message.rs
+++ b/crates/door/src/message.rs
@@ -1,59 +1,59 @@
-//! What comes to the door, and what becomes of it.
+//! Inputs and outputs of the admission queue.
 
 use crate::Millis;
 
-/// A stream at the door.
+/// A stream that asks for admission.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Arrival<'a> {
-    /// Names it; never used twice.
+    /// Unique identifier, never reused.
     pub stream: u64,
-    /// The subscriber.
+    /// The subscriber that sent it.
     pub subscriber: u64,
-    /// Position of its class.
+    /// Index of its class.
     pub class: usize,
-    /// Position of the subscriber's plan.
+    /// Index of the subscriber's plan.
     pub plan: usize,
-    /// What it takes from the quota; 0 counts as 1.
+    /// Units that it takes from the quota; 0 counts as 1.
     pub units: f64,
-    /// Its client waits this long.
+    /// How long its client waits for a response.
     pub client_timeout: Millis,
-    /// An answer in this time earns the full worth.
+    /// A response within this time earns the full value.
     pub latency_target: Millis,
-    /// What it takes in the caller's memory.
+    /// Memory that it occupies in the caller.
     pub bytes: usize,
-    /// Descriptors or memory are short: it may pass but not be held.
+    /// Descriptors or memory are low: the stream may be admitted but not queued.
     pub resources_low: bool,
-    /// Its client reads whole seconds only.
+    /// Its client understands retry delays in whole seconds only.
     pub whole_seconds: bool,
-    /// The ticket it brings.
+    /// The ticket that it presents.
     pub ticket: Option<&'a [u8]>,
 }
 
-/// What a refused client is told.
+/// Advice to a refused client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refusal {
-    /// Come back after so long.
+    /// Delay before the next attempt.
     pub retry_after: Millis,
-    /// And bring this.
+    /// Ticket to present with the next attempt.
     pub ticket: Option<String>,
 }
 
-/// What becomes of a stream on its arrival.
+/// The decision about an arriving stream.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Admission {
-    /// Hand it on now.
+    /// Dispatch it now.
     Admitted,
-    /// It waits; [`AdmissionQueue::poll`] will tell.
+    /// It waits; a later [`AdmissionQueue::poll`](crate::AdmissionQueue::poll) decides.
     Queued,
     /// Refuse it.
     Refused(Refusal),
 }
 
-/// What becomes of a stream that was held.
+/// The decision about a queued stream.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Hand it on; it has waited so long.
+    /// Dispatch the stream; the second field is its queueing time.
     Dispatch(u64, Millis),
-    /// Refuse it.
+    /// Refuse the stream.
     Refuse(u64, Refusal),
 }
--- a/crates/door/src/queue.rs
+++ b/crates/door/src/queue.rs
@@ -1,48 +1,49 @@
-//! What is held, by start tag and by the time it must be gone, with every operation in constant time.
+//! Queued streams, ordered by start tag and by deadline, with all operations in constant time.
 //!
-//! A ring of buckets over virtual time, each a list in order of arrival, holds the streams; two bitmaps find the
-//! first and the last bucket that is not empty (the calendar queue of Brown, CACM 1988, without sorting inside a
-//! bucket). A second ring over real time finds what has waited too long. Nodes lie in one slab made at the start.
+//! The streams are stored in a ring of buckets over virtual time, each a list in arrival order; a bitmap
+//! finds the first and the last non-empty bucket (the calendar queue of Brown, CACM 1988, without sorting
+//! inside a bucket). A second ring over real time finds expired streams. All nodes are preallocated in one
+//! slab.
 
 use crate::bitmap::Bitmap;
 use crate::Millis;
 use std::collections::HashMap;
 
-/// Buckets over virtual time, and their width in rounds of the lightest plan.
+/// Number of buckets over virtual time, and their width in rounds of the plan with the lowest weight.
 const BUCKETS: usize = 4096;
 const BUCKET_WIDTH: f64 = 1.0 / 16.0;
 /// How far a start tag may lie ahead of virtual time, in rounds.
 pub(crate) const HORIZON: f64 = (BUCKETS - 2) as f64 * BUCKET_WIDTH;
-/// The list of those with an appointment, behind the buckets.
+/// Index of the list of streams with an appointment, after the buckets.
 const APPOINTMENTS: usize = BUCKETS;
-/// Ticks over real time and their length: more than the longest wait.
+/// Number and length of the ticks over real time. Together they cover more than the longest queueing time.
 const TICKS: usize = 1024;
 const TICK_LEN: Millis = 8.0;
-/// The longest that anything may be held.
+/// The longest time that a stream can be queued.
 pub(crate) const MAX_QUEUE_TIME: Millis = (TICKS - 2) as f64 * TICK_LEN;
 
 const NONE: u32 = u32::MAX;
 
-/// One stream that is held.
+/// A queued stream.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct QueuedStream {
     pub(crate) stream: u64,
     pub(crate) arrived: Millis,
-    /// It must be gone by then.
+    /// When it must have been dispatched or refused.
     pub(crate) deadline: Millis,
     /// Its start tag.
     pub(crate) start: f64,
     pub(crate) subscriber: u64,
     pub(crate) class: u16,
     pub(crate) plan: u16,
-    /// The appointment it keeps; 0 for none.
+    /// The time of the appointment it came for; 0 if none.
     pub(crate) appointment: Millis,
-    /// Its client reads whole seconds only.
+    /// Its client understands retry delays in whole seconds only.
     pub(crate) whole_seconds: bool,
     pub(crate) bytes: u32,
 }
 
-/// Where a node stands in one of the lists.
+/// A node's position in one of the lists.
 #[derive(Debug, Clone, Copy)]
 struct Link {
     prev: u32,
@@ -50,7 +51,8 @@
     list: u16,
 }
 
-/// LinkedLists through the slab of nodes, each with its first and last, and a bit for each that is not empty.
+/// Doubly linked lists through the slab of nodes, each with its first and last node, and a bitmap of the
+/// non-empty ones.
 #[derive(Debug)]
 struct LinkedLists {
     links: Box<[Link]>,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Puts a node behind the last of a list.
+    /// Appends a node to a list.
     fn append(&mut self, list: usize, node: u32) {
         let last = self.ends[list].1;
         self.links[node as usize] = Link { prev: last, next: NONE, list: list as u16 };
@@ -79,7 +81,7 @@
         self.non_empty.set(list, true);
     }
 
-    /// Takes a node out of its list, and gives that.
+    /// Removes a node from its list and returns the list.
     fn unlink(&mut self, node: u32) -> usize {
         let Link { prev, next, list } = self.links[node as usize];
         let list = usize::from(list);
@@ -100,20 +102,20 @@
     }
 }
 
-/// The streams that are held.
+/// All queued streams.
 #[derive(Debug)]
 pub(crate) struct Queue {
     nodes: Box<[QueuedStream]>,
-    /// Places of nodes that hold nothing.
+    /// Unused nodes.
     free: Vec<u32>,
     node_of_stream: HashMap<u64, u32>,
     by_start_tag: LinkedLists,
     by_deadline: LinkedLists,
-    /// Streams in each bucket, as a Fenwick tree (1994): how many lie ahead of a tag.
+    /// Number of streams in each bucket, as a Fenwick tree (1994), to count the streams ahead of a tag.
     bucket_counts: Box<[u32]>,
-    /// The bucket of virtual time, counted from its start.
+    /// The bucket of virtual time, counted from virtual time 0.
     base_bucket: u64,
-    /// The tick up to which time has been looked at, counted from its start.
+    /// The tick up to which deadlines have been checked, counted from time 0.
     current_tick: u64,
     appointments: usize,
     bytes: usize,
@@ -143,9 +145,9 @@
         };
         Self {
             nodes: vec![entry; capacity].into(),
-            // The first place is taken first.
+            // Nodes are taken in ascending order.
             free: (0..capacity as u32).rev().collect(),
-            // Past half of its capacity a table with removals behind it grows instead of tidying up.
+            // Past half of its capacity, a table with removals grows instead of rehashing in place.
             node_of_stream: HashMap::with_capacity(2 * capacity),
             by_start_tag: LinkedLists::new(BUCKETS + 1, capacity),
             by_deadline: LinkedLists::new(TICKS, capacity),
@@ -169,14 +171,14 @@
         self.bytes
     }
 
-    /// How many are held that have an appointment.
+    /// Number of queued streams with an appointment.
     pub(crate) fn appointments(&self) -> usize {
         self.appointments
     }
 
-    /// Memory taken for nodes and rings, made at the start.
+    /// Memory allocated for nodes and rings at construction.
     pub(crate) fn memory(&self) -> usize {
-        // The standard table keeps at most seven eighths full and a byte beside each entry.
+        // The standard hash table fills to at most seven eighths and needs a control byte for each entry.
         let table = self.nodes.len() * 2 * 8 / 7 * 17;
         let lists =
             self.by_start_tag.memory() + self.by_deadline.memory() + size_of_val(&*self.bucket_counts);
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Streams in the ring's first `buckets` buckets.
+    /// Streams in the first `buckets` buckets of the ring.
     fn prefix_sum(&self, buckets: usize) -> usize {
         let (mut at, mut sum) = (buckets, 0);
         while at > 0 {
@@ -201,7 +203,7 @@
         sum
     }
 
-    /// How many are handed on before one that would come now with this start tag.
+    /// Number of streams that would be dispatched before one that arrives now with start tag `start`.
     pub(crate) fn streams_ahead(&self, start: f64) -> usize {
         let (first, last) = (self.base_bucket, bucket_of(start).min(self.base_bucket + BUCKETS as u64 - 1));
         let (from, to) = (first as usize % BUCKETS, last as usize % BUCKETS + 1);
@@ -215,15 +217,15 @@
         self.appointments + within
     }
 
-    /// Virtual time has come so far; nothing is held below it.
+    /// Follows virtual time, below which no stream is queued.
     pub(crate) fn advance_base(&mut self, virtual_time: f64) {
         if self.node_of_stream.len() == self.appointments {
             self.base_bucket = self.base_bucket.max(bucket_of(virtual_time));
         }
     }
 
-    /// Holds a stream, with an appointment in front of all others. The tag must not lie beyond the horizon, and
-    /// there must be room.
+    /// Queues a stream. One with an appointment goes ahead of all others. The start tag must not lie beyond
+    /// the horizon, and the queue must not be full.
     pub(crate) fn push(&mut self, mut entry: QueuedStream, by_appointment: bool) {
         assert!(!self.is_full(), "push requires a free node");
         if self.node_of_stream.is_empty() {
@@ -267,13 +269,13 @@
         entry
     }
 
-    /// Takes out a stream, wherever it stands.
+    /// Removes a stream from any position.
     pub(crate) fn remove(&mut self, stream: u64) -> Option<QueuedStream> {
         let node = *self.node_of_stream.get(&stream)?;
         Some(self.remove_node(node))
     }
 
-    /// Takes out the oldest with an appointment.
+    /// Removes the oldest stream with an appointment.
     pub(crate) fn pop_appointment(&mut self) -> Option<QueuedStream> {
         match self.by_start_tag.ends[APPOINTMENTS].0 {
             NONE => None,
@@ -281,7 +283,7 @@
         }
     }
 
-    /// Takes out one with the lowest start tag, within a bucket's width.
+    /// Removes a stream with the lowest start tag, to the precision of a bucket.
     pub(crate) fn pop_lowest_tag(&mut self) -> Option<QueuedStream> {
         let base = self.base_bucket as usize % BUCKETS;
         let bucket = self
@@ -293,7 +295,8 @@
         Some(self.remove_node(self.by_start_tag.ends[bucket].0))
     }
 
-    /// The one with the highest start tag: the tail of the queue that is longest by weight.
+    /// A stream with the highest start tag: the tail of the flow with the longest backlog relative to its
+    /// weight.
     pub(crate) fn highest_tag(&self) -> Option<&QueuedStream> {
         let base = self.base_bucket as usize % BUCKETS;
         let bucket = self
@@ -304,7 +307,7 @@
         Some(&self.nodes[self.by_start_tag.ends[bucket].1 as usize])
     }
 
-    /// When something will have waited too long, at the latest.
+    /// The latest time at which expired streams must be looked for.
     pub(crate) fn next_deadline(&self) -> Option<Millis> {
         if self.node_of_stream.is_empty() {
             return None;
@@ -316,12 +319,12 @@
             .first_set(now, TICKS)
             .or_else(|| self.by_deadline.non_empty.first_set(0, now))?;
         let ahead = ((tick + TICKS - now) % TICKS) as u64;
-        // The earliest in a tick may be due at its beginning.
+        // The earliest deadline in a tick may lie at its start.
         Some((self.current_tick + ahead) as f64 * TICK_LEN)
     }
 
-    /// Takes out one that has waited too long. What is due within the tick of `now` counts as well: it cannot
-    /// be handed on in the little time left.
+    /// Removes a stream whose deadline has passed. A deadline within the tick of `now` counts as passed,
+    /// because the stream cannot be dispatched in the little time left.
     pub(crate) fn pop_expired(&mut self, now: Millis) -> Option<QueuedStream> {
         if self.node_of_stream.is_empty() {
             return None;
--- a/crates/door/src/rate.rs
+++ b/crates/door/src/rate.rs
@@ -1,11 +1,11 @@
-//! Measured rates.
+//! Smoothed measurements.
 
 use crate::Millis;
 
-/// A measured rate stands this long.
+/// How long a measurement is valid.
 const RATE_VALIDITY: Millis = 5000.0;
 
-/// A smoothed figure that stands for a while.
+/// Exponentially weighted moving average that expires.
 #[derive(Debug, Default)]
 pub(crate) struct SmoothedRate {
     pub(crate) value: f64,
@@ -13,7 +13,7 @@
 }
 
 impl SmoothedRate {
-    /// Takes in a sample with this weight, or for all that is known where nothing stands.
+    /// Adds a sample with weight `gain`. Without a valid value the sample replaces it.
     pub(crate) fn update(&mut self, now: Millis, sample: f64, gain: f64) {
         self.value = self.current(now).map_or(sample, |value| value + gain * (sample - value));
         self.updated_at = now;
@@ -24,12 +24,12 @@
     }
 }
 
-/// The window over which rates are measured.
+/// Measurement window.
 #[derive(Debug, Default)]
 pub(crate) struct RateWindow {
     pub(crate) start: Millis,
     pub(crate) dispatched: u32,
     pub(crate) virtual_time: f64,
-    /// Something has been held all the time.
+    /// The queue was never empty during the window.
     pub(crate) backlogged: bool,
 }
--- a/crates/door/src/reservations.rs
+++ b/crates/door/src/reservations.rs
@@ -1,8 +1,8 @@
-//! Appointments: what a refused client is told, and how it is known again.
+//! Appointments: reserved capacity for retries, and the lookup of returning clients.
 //!
-//! The book holds future capacity in slots. Each refusal takes the next place that is free at or after the time
-//! asked for, and the places of a slot are spread evenly over it, so that a neighbourhood refused in one second
-//! comes back as a stream and not as a crowd.
+//! The slot table holds future capacity in time slots. Each refusal reserves the next free position at or
+//! after the earliest time asked for. Positions are spread evenly over their slot, so that clients refused in
+//! the same second retry at a steady rate instead of all at once.
 
 use crate::bitmap::Bitmap;
 use crate::finish_tags::Flow;
@@ -10,22 +10,23 @@
 
 /// The length of a slot.
 const SLOT_LEN: Millis = 50.0;
-/// Clients of a slot at the least: with a smaller rate places would lie beyond the book.
+/// Minimum number of reservations per slot. At a lower rate they would extend beyond the end of the table.
 const MIN_PER_SLOT: f64 = 1.0;
-/// A client may come so much before its time and still keep it: its clock begins when the answer has come.
+/// How much before its appointment a client may arrive: clients count the delay from the receipt of the
+/// response.
 const EARLY_TOLERANCE: Millis = 100.0;
-/// Entries of a group in the table of appointments.
+/// Entries in a group of the table of pending appointments.
 const GROUP_LEN: usize = 16;
 
-/// Future capacity.
+/// Reservations of future capacity by time slot.
 #[derive(Debug)]
 pub(crate) struct SlotTable {
     reserved: Box<[u16]>,
-    /// Slots in which a place may be free, as a bitmap: a long run of full ones is skipped by words.
+    /// Bitmap of slots that may have free positions, so that a long run of full slots is skipped by words.
     open_slots: Bitmap,
-    /// The slot that runs now, counted from time's start.
+    /// The current slot, counted from time 0.
     current_slot: u64,
-    /// Places of a slot when slots were last marked full.
+    /// Positions per slot at the last reservation.
     per_slot: u16,
 }
 
@@ -34,7 +35,7 @@
 }
 
 impl SlotTable {
-    /// A book over so many milliseconds.
+    /// Creates a table that covers `span` milliseconds.
     pub(crate) fn new(span: Millis) -> Self {
         let slots = ((span / SLOT_LEN).ceil() as usize + 2).next_multiple_of(64);
         Self {
@@ -55,7 +56,8 @@
         self.current_slot = self.current_slot.max(slot);
     }
 
-    /// The first slot from `from` and before `until`, less than the book's length later, in which a place may be free.
+    /// The first slot in `from..until` that may have a free position. `until` must be less than the table's
+    /// length after `from`.
     fn next_free(&self, from: u64, until: u64) -> Option<u64> {
         let len = self.reserved.len();
         let at = from as usize % len;
@@ -63,8 +65,9 @@
         Some(from + ((found + len - at) % len) as u64).filter(|&slot| slot < until)
     }
 
-    /// Takes a place at or after `from` and before `until`, where `rate` streams a millisecond may come;
-    /// `None` when the book is full until then. With `step`, only at whole multiples of it from now.
+    /// Reserves a position at or after `from` and before `until`, for an arrival rate of `rate` streams per
+    /// millisecond. Returns `None` if there is none left. With `step`, only whole multiples of it from now
+    /// are used.
     pub(crate) fn reserve(
         &mut self,
         now: Millis,
@@ -76,7 +79,7 @@
         self.advance_to(now);
         let per_slot = (rate * SLOT_LEN).max(MIN_PER_SLOT).min(f64::from(u16::MAX)) as u16;
         if per_slot > self.per_slot {
-            // Slots that were full at a lower rate have places again.
+            // Slots that were full at a lower rate have free positions again.
             self.open_slots.fill(true);
         }
         self.per_slot = per_slot;
@@ -107,9 +110,10 @@
         }
     }
 
-    /// Places taken from now on for so long.
+    /// Reservations in the next `within` milliseconds.
     pub(crate) fn reserved_within(&self, now: Millis, within: Millis) -> f64 {
-        // Slots that nobody has looked at since they passed stand for later ones; the caller looks often.
+        // Until the table is advanced, past slots would be counted as later ones; they are excluded here. The
+        // error is small because callers advance it often.
         let (from, len) = (slot_of(now), self.reserved.len() as u64);
         let slots = ((within / SLOT_LEN).ceil() as u64).clamp(1, len);
         let fresh = (from..from + slots).filter(|slot| *slot < self.current_slot + len);
@@ -129,8 +133,8 @@
     ticket: u64,
 }
 
-/// Who was told to come back when, by subscriber and class, in a table of fixed size: two groups of sixteen
-/// for each name (Azar et al., balanced allocations, 1994). What is over makes room.
+/// Pending appointments by subscriber and class, in a table of fixed size with two groups of sixteen entries
+/// for each flow (Azar et al., balanced allocations, 1994). Expired entries are overwritten.
 #[derive(Debug)]
 pub(crate) struct PendingAppointments {
     entries: Box<[Entry]>,
@@ -151,7 +155,7 @@
         groups.into_iter().flat_map(|group| group * GROUP_LEN..(group + 1) * GROUP_LEN)
     }
 
-    /// Notes an appointment; false where its groups are full of others that still stand.
+    /// Stores an appointment. Returns false if both groups are full of unexpired ones.
     pub(crate) fn insert(&mut self, now: Millis, flow: Flow, due: Millis, ticket: u64) -> bool {
         let expired_before = now - self.grace;
         let Some(index) = self.entry_indices(flow).find(|&index| self.entries[index].due < expired_before)
@@ -162,7 +166,8 @@
         true
     }
 
-    /// Takes the appointment that somebody keeps by coming now: when it was, and its ticket's number.
+    /// Removes the appointment that a client arriving now redeems. Returns its time and the number of its
+    /// ticket.
     pub(crate) fn claim(&mut self, now: Millis, flow: Flow) -> Option<(Millis, u64)> {
         let found = self.entry_indices(flow).find(|&index| {
             let entry = self.entries[index];
@@ -172,7 +177,7 @@
         Some((entry.due, entry.ticket))
     }
 
-    /// Strikes out the appointment that a ticket stands for.
+    /// Removes the appointment that belongs to a ticket.
     pub(crate) fn remove(&mut self, flow: Flow, ticket: u64) {
         let found = self.entry_indices(flow).find(|&index| {
             let entry = self.entries[index];
@@ -188,7 +193,7 @@
     }
 }
 
-/// Whether somebody who comes now keeps an appointment.
+/// Whether a client that arrives at `now` may redeem an appointment for `due`.
 pub(crate) fn is_in_time(now: Millis, due: Millis, grace: Millis) -> bool {
     due - EARLY_TOLERANCE <= now && now <= due + grace
 }
--- a/crates/door/src/settings.rs
+++ b/crates/door/src/settings.rs
@@ -1,31 +1,32 @@
-//! What a door is built from.
+//! Settings of an admission queue.
 
 use crate::Millis;
 
-/// What a door is built from.
+/// Settings of an admission queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// How many classes there are.
+    /// Number of request classes.
     pub class_count: usize,
-    /// Each plan's weight, above 0: a subscriber's share against others' when all want more than there is.
+    /// Weight of each plan, above 0: a subscriber's share relative to others when demand exceeds capacity.
     pub plan_weights: Vec<f64>,
-    /// Bytes that the door may take, all at the start. From 64 KiB.
+    /// Bytes that the queue may allocate, all at construction. At least 64 KiB.
     pub memory: usize,
-    /// Bytes that held streams may take in the caller's memory.
+    /// Bytes that queued streams may occupy in the caller's memory.
     pub max_queued_bytes: usize,
-    /// No stream is held longer. From 1 to 8,000 ms.
+    /// Longest time that a stream may be queued, from 1 to 8,000 ms.
     pub max_queue_time: Millis,
-    /// Requests of one subscriber that its start tag may lie ahead: what it can have waiting.
+    /// How many requests a subscriber's start tag may lie ahead of virtual time, and thus how many it can
+    /// have queued.
     pub max_queued_per_subscriber: f64,
-    /// Streams handed on at once, at the start, at the least and at the most.
+    /// Initial, minimum and maximum concurrency limit.
     pub limit: (f64, f64, f64),
-    /// The share of what can pass that appointments may take. Above 0, to 1.
+    /// Share of the dispatch rate that appointments may take, above 0 and up to 1.
     pub appointment_share: f64,
-    /// The longest time that a client is told to stay away.
+    /// Longest retry delay given to a client.
     pub max_retry_after: Millis,
-    /// An appointment is kept by who comes no later than this after it.
+    /// How late a client may redeem its appointment.
     pub appointment_grace: Millis,
-    /// For the keyed hash and for tickets' numbers: secret, another at each start.
+    /// Secret key for the keyed hash and the numbers of tickets; different at each start.
     pub hash_key: [u8; 16],
 }
 
--- a/crates/door/src/ticket.rs
+++ b/crates/door/src/ticket.rs
@@ -1,7 +1,8 @@
-//! Tickets: appointments that another gateway honours, signed with a key that all of them hold.
+//! Tickets: signed appointments that any gateway with the same keys accepts.
 //!
-//! HMAC (RFC 2104) with SHA-256, cut to 128 bits as RFC 2104 section 5 permits, in base64url (RFC 4648
-//! section 5). A ticket names subscriber, class and time; it is good for one use at each gateway.
+//! The signature is HMAC (RFC 2104) with SHA-256, truncated to 128 bits as RFC 2104 section 5 permits; the
+//! encoding is base64url (RFC 4648 section 5). A ticket names subscriber, class and time. Each gateway
+//! accepts it once.
 
 use crate::Millis;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -10,19 +11,19 @@
 use sha2::Sha256;
 use std::collections::HashSet;
 
-/// The form of tickets; others count as none.
+/// Format version; tickets of other versions are rejected.
 const VERSION: u8 = 1;
-/// Version, class, due, subscriber and number, and the signature behind them.
+/// Length of the signed fields (version, class, due, subscriber, number) and of the signature that follows.
 const SIGNED_LEN: usize = 1 + 2 + 8 + 8 + 8;
 const MAC_LEN: usize = 16;
-/// Characters of a ticket.
+/// Length of an encoded ticket in characters.
 pub const TICKET_LEN: usize = (SIGNED_LEN + MAC_LEN) * 4 / 3 + 1;
-/// Bytes of a key at the least (RFC 2104 section 3: less than the hash's length is weaker) and at the most.
+/// Permitted key lengths in bytes. RFC 2104 section 3: keys shorter than the hash's output are weaker.
 const KEY_LEN: std::ops::RangeInclusive<usize> = 32..=128;
-/// Keys of a file: the one that signs, and those still good.
+/// Maximum number of keys in a file: the signing key and the previous ones that are still valid.
 const MAX_KEYS: usize = 4;
 
-/// What a ticket says.
+/// The contents of a ticket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Ticket {
     pub(crate) class: u16,
@@ -32,40 +33,41 @@
     pub(crate) number: u64,
 }
 
-/// Why a ticket counts as none.
+/// Why a ticket is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TicketError {
-    /// Not in the form of a ticket.
+    /// The format is invalid.
     Malformed,
-    /// No key that is held has signed it.
+    /// The signature matches no key.
     Forged,
-    /// Its time is over or has not come.
+    /// The ticket is presented too early or too late.
     Untimely,
-    /// Given to another subscriber or for another class.
+    /// The ticket was issued to another subscriber or for another class.
     Foreign,
-    /// ReplayCache before.
+    /// The ticket was used before.
     Replayed,
-    /// No room to remember its use: unremembered it could be used without end.
+    /// The replay cache is full. Accepting the ticket without recording it would permit unlimited reuse.
     ReplayCacheFull,
 }
 
-/// Keys of gateways that honour each other's appointments. The first signs; all verify.
+/// Keys shared by gateways that accept each other's tickets. The first one signs; all of them verify.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct TicketKeys(Vec<Vec<u8>>);
 
 impl std::fmt::Debug for TicketKeys {
-    /// A key in a log is a key given away.
+    /// Omits the keys, so that they do not appear in logs.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "TicketKeys({} held)", self.0.len())
+        write!(f, "TicketKeys({} keys)", self.0.len())
     }
 }
 
 impl TicketKeys {
-    /// Reads a key file: a key of 32 to 128 bytes in hex digits on each line, the one that signs first, then at
-    /// most three that are still good. Empty lines and lines that begin with `#` do not count.
+    /// Parses a key file: one key of 32 to 128 bytes per line in hexadecimal, the signing key first, followed
+    /// by at most three that are still valid. Empty lines and lines that begin with `#` are ignored.
     ///
     /// # Errors
-    /// The line at fault, from 1 (0 for the whole), and what is wrong; never a part of a key.
+    /// Returns the line at fault, counted from 1 (0 for the whole file), and the problem; never a part of a
+    /// key.
     pub fn parse(text: &str) -> Result<Self, (usize, &'static str)> {
         let mut keys = Vec::new();
         for (n, line) in text.lines().enumerate() {
@@ -91,7 +93,7 @@
         Ok(Self(keys))
     }
 
-    /// Whether there is a key to sign with.
+    /// Whether there is a signing key.
     #[must_use]
     pub fn can_sign(&self) -> bool {
         !self.0.is_empty()
@@ -111,7 +113,7 @@
     }
 
     pub(crate) fn verify(&self, text: &[u8]) -> Result<Ticket, TicketError> {
-        // Decoding what a stranger sends costs by its length; the length is looked at first.
+        // The cost of decoding untrusted input grows with its length, so the length is checked first.
         if text.len() != TICKET_LEN {
             return Err(TicketError::Malformed);
         }
@@ -122,7 +124,7 @@
         }
         let (signed, mac) = bytes[..decoded].split_at(SIGNED_LEN);
         let verified = self.0.iter().any(|key| {
-            // The comparison takes the same time wherever the first difference lies.
+            // The comparison runs in constant time.
             Hmac::<Sha256>::new_from_slice(key)
                 .is_ok_and(|expected| expected.chain_update(signed).verify_truncated_left(mac).is_ok())
         });
@@ -135,8 +137,9 @@
     }
 }
 
-/// Numbers of tickets that were used, for as long as they could be used again. Two halves take turns, so that
-/// what is over goes at once; when the newer is full, no further ticket is honoured until the turn.
+/// Numbers of used tickets, kept for as long as the tickets could be replayed. Two halves alternate, so that
+/// expired entries are dropped at once. When the current half is full, no further ticket is accepted until
+/// the next rotation.
 #[derive(Debug)]
 pub(crate) struct ReplayCache {
     current: HashSet<u64>,
@@ -147,14 +150,14 @@
 }
 
 impl ReplayCache {
-    /// Room for `most` numbers, each remembered for `life` at the least.
+    /// Creates a cache for `capacity` numbers, each kept for at least `retention`.
     pub(crate) fn new(capacity: usize, retention: Millis) -> Self {
         let half = capacity / 2;
         let set = || HashSet::with_capacity(half);
         Self { current: set(), previous: set(), capacity: half, retention, rotated_at: 0.0 }
     }
 
-    /// Notes a use.
+    /// Records the use of a ticket.
     pub(crate) fn insert(&mut self, now: Millis, number: u64) -> Result<(), TicketError> {
         if now - self.rotated_at >= self.retention {
             std::mem::swap(&mut self.current, &mut self.previous);
--- a/crates/door/tests/door.rs
+++ b/crates/door/tests/door.rs
@@ -1,4 +1,4 @@
-//! The door in virtual time: fairness, appointments, bounds, and what becomes of every stream.
+//! The admission queue in virtual time: fairness, appointments, bounds and the outcome of every stream.
 #![allow(missing_docs)]
 
 mod fleet;
@@ -9,13 +9,14 @@
 use switchhill_door::{Action, Admission, AdmissionQueue, Arrival, Outcome, Settings, TicketKeys};
 
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
-const OLD: &str = "ffeeddccbbaa99887766554433221100ffeeddccbbaa99887766554433221100";
+const PREVIOUS_KEY: &str = "ffeeddccbbaa99887766554433221100ffeeddccbbaa99887766554433221100";
 
 fn settings() -> Settings {
     Settings { plan_weights: vec![0.9, 2.0, 6.3], hash_key: [7; 16], ..Settings::default() }
 }
 
-/// A door that hands nothing on until told that something has ended.
+/// Settings with a limit of one stream in flight: once it is in use, nothing is dispatched before a
+/// completion.
 fn saturated() -> Settings {
     Settings { limit: (1.0, 1.0, 1.0), ..settings() }
 }
@@ -54,7 +55,7 @@
 
 #[test]
 fn a_frequent_subscriber_queues_behind_occasional_ones() {
-    // Guarded against: a queue in order of arrival, where nine requests of one subscriber delay all others.
+    // Guards against a FIFO queue, in which several requests of one subscriber would delay all others.
     let mut queue = AdmissionQueue::new(saturated());
     assert_eq!(queue.on_arrival(1.0, &arrival(0, 9, 0)), Admission::Admitted);
     (1..=6).for_each(|n| assert_eq!(queue.on_arrival(2.0, &arrival(n, 1, 0)), Admission::Queued));
@@ -72,13 +73,14 @@
     let mut queue =
         AdmissionQueue::new(Settings { memory: 64 << 10, max_queued_per_subscriber: 1e6, ..saturated() });
     assert_eq!(queue.on_arrival(1.0, &arrival(0, 0, 0)), Admission::Admitted);
-    let mut held = 0;
-    // A measured rate lets the queue fill: without one the wait would be the bound.
+    let mut queued = 0;
+    // Completions give a measured rate, so that the queue can fill; otherwise the expected wait would be the
+    // bound.
     while let Admission::Queued = queue
-        .on_arrival(2.0, &Arrival { client_timeout: 1e9, latency_target: 1e9, ..arrival(100 + held, 1, 0) })
+        .on_arrival(2.0, &Arrival { client_timeout: 1e9, latency_target: 1e9, ..arrival(100 + queued, 1, 0) })
     {
-        held += 1;
-        if held % 10 == 0 {
+        queued += 1;
+        if queued % 10 == 0 {
             queue.on_completion(2.0, 0, 0.1, Outcome::Success);
         }
     }
@@ -97,7 +99,7 @@
     assert!(newcomer != Admission::Admitted);
 }
 
-/// Serves two subscribers that always want more, in turn; gives what each got.
+/// Alternately serves two subscribers with constant demand; returns the number of streams served for each.
 fn share(weights: [f64; 2], rounds: usize) -> [f64; 2] {
     let mut queue = AdmissionQueue::new(Settings {
         plan_weights: weights.to_vec(),
@@ -109,7 +111,7 @@
     for round in 0..rounds {
         let now = 1.0 + round as f64;
         for who in 0..2 {
-            // As many as it may have waiting.
+            // Fills the subscriber's queue up to its limit.
             while queue.on_arrival(
                 now,
                 &Arrival {
@@ -135,11 +137,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// SFQ's bound for two that always wait, one request of each apart in weighted terms, with two bucket widths
-    /// for what the ring rounds (see `docs/design/door.md`).
+    /// The fairness bound of SFQ for two continuously backlogged flows, one request of each in weighted
+    /// terms, plus two bucket widths for the rounding in the ring (see `docs/design/door.md`).
     #[test]
     fn shares_differ_from_the_weights_by_no_more_than_the_bound(light in 0.5f64..2.0, times in 1.0f64..8.0) {
-        // Held back or refused requests are charged as well, so the test asks no more than may wait.
+        // Requests refused after queueing are charged as well, so the test sends no more than can be queued.
         let weights = [light, light * times];
         let mut queue = AdmissionQueue::new(Settings { plan_weights: weights.to_vec(), max_queued_per_subscriber: 1e6, ..saturated() });
         let mut owner = BTreeMap::new();
@@ -170,8 +172,8 @@
         }
     }
 
-    /// No stream is lost or handed on twice, none waits too long, bounds hold, and nothing waits while there is
-    /// room, whatever comes in whatever order.
+    /// For any sequence of events, no stream is lost or dispatched twice, none is queued past its deadline,
+    /// all bounds hold, and nothing is queued while the limit has room.
     #[test]
     fn every_stream_is_dispatched_refused_or_cancelled_once(
         steps in prop::collection::vec((0u8..6, 0u64..40, 0usize..3, 1.0f64..60.0), 1..400),
@@ -187,8 +189,8 @@
             match what {
                 0..=2 => {
                     next += 1;
-                    let asked = Arrival { client_timeout: more * 40.0, bytes: 100, resources_low: who == 0, ..arrival(next, who, plan) };
-                    match queue.on_arrival(now, &asked) {
+                    let request = Arrival { client_timeout: more * 40.0, bytes: 100, resources_low: who == 0, ..arrival(next, who, plan) };
+                    match queue.on_arrival(now, &request) {
                         Admission::Admitted => prop_assert!(open.insert(next)),
                         Admission::Queued => {
                             prop_assert!(who != 0, "queued although resources are low");
@@ -229,7 +231,7 @@
 
 #[test]
 fn retries_after_a_burst_of_refusals_are_spread_over_time() {
-    // Guarded against: everybody is told the same time and comes back as the same crowd.
+    // Guards against giving all refused clients the same retry time, so that they return as one burst.
     let (servers, service_time) = (50, 50.0);
     let per_ms = servers as f64 / service_time;
     let mut fleet = Fleet::new(settings(), servers, service_time);
@@ -243,7 +245,7 @@
         });
         (stream, ends)
     };
-    // Two seconds of demand somewhat over what can pass, so that rates are known.
+    // Two seconds of demand somewhat above capacity, so that the rates are measured.
     for n in 0..2400 {
         fleet.advance_to(1_000_000.0 + f64::from(n) / (1.2 * per_ms));
         ask(&mut fleet, 1_000_000 + n as u64);
@@ -251,7 +253,7 @@
     let start = fleet.now;
     fleet.refused.clear();
     let before = fleet.queue.counters().clone();
-    // Six thousand within a second; who is refused comes back exactly when told, the once.
+    // Six thousand arrivals within a second. Each refused client retries once, exactly at its time.
     let mut coming: BTreeSet<(u64, u64, bool)> =
         (0..6000).map(|n| (start as u64 * 6 + n, n, false)).collect();
     let (mut owner, mut scheduled, mut retries_per_100_ms) =
@@ -289,29 +291,29 @@
     assert!(after.met - before.met >= scheduled.len() as u64 * 98 / 100, "{after:?}");
 }
 
-/// A door under pressure that has given this subscriber an appointment: its time and ticket.
+/// A saturated queue gives the subscriber an appointment; returns its time and ticket.
 fn appointment(queue: &mut AdmissionQueue, subscriber: u64) -> (f64, String) {
     let now = 1_000_000.0;
     if queue.concurrency().0 == 0 {
         assert_eq!(queue.on_arrival(now, &arrival(1, 1, 0)), Admission::Admitted);
     }
-    let scarce = Arrival { resources_low: true, ..arrival(2, subscriber, 0) };
-    let Admission::Refused(refusal) = queue.on_arrival(now, &scarce) else { panic!("refused") };
+    let arrival = Arrival { resources_low: true, ..arrival(2, subscriber, 0) };
+    let Admission::Refused(refusal) = queue.on_arrival(now, &arrival) else { panic!("refused") };
     (now + refusal.retry_after, refusal.ticket.expect("a ticket"))
 }
 
 fn queue_with(keys: &str) -> AdmissionQueue {
     let mut queue = AdmissionQueue::new(saturated());
-    queue.set_ticket_keys(TicketKeys::parse(keys).expect("sound"));
+    queue.set_ticket_keys(TicketKeys::parse(keys).expect("valid keys"));
     queue
 }
 
 #[test]
 fn a_ticket_from_another_gateway_is_accepted_once_after_a_key_rotation() {
-    let mut one = queue_with(OLD);
+    let mut one = queue_with(PREVIOUS_KEY);
     let (due, ticket) = appointment(&mut one, 42);
-    // The other gateway has a new key already and still knows the old one.
-    let mut other = queue_with(&format!("# changed today\n{KEY}\n{OLD}\n"));
+    // The other gateway has already switched to a new key and still accepts the old one.
+    let mut other = queue_with(&format!("# rotated today\n{KEY}\n{PREVIOUS_KEY}\n"));
     appointment(&mut other, 1);
     let back = Arrival { ticket: Some(ticket.as_bytes()), ..arrival(10, 42, 0) };
     (20..24).for_each(|n| drop(other.on_arrival(due, &arrival(n, n, 0))));
@@ -354,8 +356,6 @@
     let altered = alter(&ticket);
     let due = due + late;
     let back = Arrival { ticket: Some(altered.as_bytes()), ..arrival(10, subscriber, 0) };
-    // Without its ticket, 42 would be known by its name: it is asked for another class.
-    let back = Arrival { class: 0, ..back };
     queue.on_arrival(due, &back);
     let counters = queue.counters().entries();
     let value = |name: &str| counters.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
@@ -379,13 +379,13 @@
 
 #[test]
 fn debug_output_hides_the_keys() {
-    let shown = format!("{:?}", TicketKeys::parse(KEY).expect("sound"));
+    let shown = format!("{:?}", TicketKeys::parse(KEY).expect("valid keys"));
     assert!(!shown.contains("00") && !shown.contains("17"), "{shown}");
 }
 
 #[test]
 fn whole_second_retry_times_are_exact_and_spread_out() {
-    // Guarded against: a time between two seconds that is rounded up behind the book's back.
+    // Guards against a retry time that is rounded up to a whole second after its slot was reserved.
     let mut queue = AdmissionQueue::new(saturated());
     assert_eq!(queue.on_arrival(0.0, &arrival(0, 0, 0)), Admission::Admitted);
     let mut scheduled: BTreeMap<u64, usize> = BTreeMap::new();
@@ -423,7 +423,8 @@
 
 #[test]
 fn the_concurrency_limit_converges_to_the_fleet_capacity() {
-    // Demand is twice what twenty places can do: the limit may not climb with the line it makes itself.
+    // Demand is twice the capacity of twenty servers: the limit must not grow with the backlog that it causes
+    // itself.
     let mut fleet = Fleet::new(settings(), 20, 40.0);
     for n in 0..60_000u64 {
         fleet.advance_to(1_000_000.0 + n as f64);
@@ -442,8 +443,8 @@
     assert!((2.7..=3.3).contains(&ratio), "{got:?}");
 }
 
-/// The share of their asks that ten subscribers get who ask every `every` ms, among newcomers for half as much
-/// again as can pass, each of whom comes once.
+/// The share of requests served for ten subscribers that send one every `every` ms. Among them newcomers,
+/// which send one request each, ask for half as much again as the capacity.
 fn share_among_newcomers(every: u64) -> f64 {
     let mut fleet = Fleet::new(settings(), 20, 40.0);
     let mut regular = BTreeSet::new();
@@ -471,9 +472,9 @@
 
 #[test]
 fn repeat_subscribers_are_not_starved_by_newcomers() {
-    // Guarded against: virtual time that stands still while newcomers keep coming, so that a second request
-    // waits behind every one of them until its time is over. 500 a second among some 1,500 active in two
-    // seconds are a third of a request a second for each.
+    // Guards against virtual time that stands still while newcomers keep arriving, so that a second request
+    // waits behind all of them until its deadline. 500 streams per second among about 1,500 subscribers
+    // active within two seconds are a third of a request per second for each.
     let (seldom, often) = (share_among_newcomers(4000), share_among_newcomers(1000));
     assert!(seldom >= 0.6, "{seldom} of requests served at less than the fair share");
     assert!(often >= 0.12, "{often} of requests served at three times the fair share");
@@ -485,6 +486,6 @@
 #[case(6 << 20)]
 fn memory_stays_within_the_budget(#[case] memory: usize) {
     let queue = AdmissionQueue::new(Settings { memory, max_retry_after: 60_000.0, ..settings() });
-    // Histograms and rings are the same whatever the share.
+    // Histograms and rings have the same size for any budget.
     assert!(queue.memory_bytes() <= memory + (160 << 10), "{} of {memory}", queue.memory_bytes());
 }
--- a/crates/door/tests/fleet/mod.rs
+++ b/crates/door/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time behind a door: so many servers, each stream taking its time.
+//! Simulated fleet in virtual time behind an admission queue: a number of servers with a fixed service time.
 #![allow(missing_docs)]
 
 use std::cmp::Reverse;
@@ -11,7 +11,7 @@
     servers: usize,
     service_time: f64,
     dispatched_at: BTreeMap<u64, f64>,
-    /// Stream and time of each handing on.
+    /// Stream and time of each dispatch.
     pub dispatched: Vec<(u64, f64)>,
     pub refused: Vec<(u64, f64, Refusal)>,
     running: BinaryHeap<Reverse<(u64, u64)>>,
@@ -23,7 +23,8 @@
 }
 
 impl Fleet {
-    /// `servers` streams run at once, each for `service_time` milliseconds; more wait behind them.
+    /// `servers` streams run at once, each for `service_time` milliseconds; further dispatched streams wait
+    /// for a free server.
     pub fn new(settings: Settings, servers: usize, service_time: f64) -> Self {
         Self {
             queue: AdmissionQueue::new(settings),
@@ -40,9 +41,10 @@
 
     fn dispatch(&mut self, stream: u64) {
         self.dispatched.push((stream, self.now));
-        // The server that is free first service_time it; until then it waits there.
-        let server =
-            (0..self.servers).min_by(|&a, &b| self.free_at[a].total_cmp(&self.free_at[b])).expect("some");
+        // The stream waits for the server that is free first.
+        let server = (0..self.servers)
+            .min_by(|&a, &b| self.free_at[a].total_cmp(&self.free_at[b]))
+            .expect("at least one server");
         let ends = self.free_at[server].max(self.now) + self.service_time;
         self.free_at[server] = ends;
         self.dispatched_at.insert(stream, self.now);
@@ -59,7 +61,7 @@
         admission
     }
 
-    /// Lets time pass, ending streams and polling the door on the way.
+    /// Advances virtual time to `to`, completing streams and polling the queue on the way.
     pub fn advance_to(&mut self, to: f64) {
         loop {
             let ends = self.running.peek().map(|Reverse((at, _))| *at as f64 / 1000.0);
@@ -71,8 +73,8 @@
             self.now = self.now.max(next);
             while self.running.peek().is_some_and(|Reverse((at, _))| *at as f64 / 1000.0 <= self.now) {
                 let Some(Reverse((_, stream))) = self.running.pop() else { break };
-                let since = self.dispatched_at.remove(&stream).expect("running");
-                self.queue.on_completion(self.now, 0, self.now - since, Outcome::Success);
+                let dispatched_at = self.dispatched_at.remove(&stream).expect("a stream in flight");
+                self.queue.on_completion(self.now, 0, self.now - dispatched_at, Outcome::Success);
             }
             self.poll();
         }
--- a/fuzz/fuzz_targets/ticket.rs
+++ b/fuzz/fuzz_targets/ticket.rs
@@ -1,4 +1,4 @@
-//! A ticket of any bytes: it never counts as a good one, and never makes the door fail.
+//! Tickets of arbitrary bytes must never be accepted and never cause a panic.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
