--- a/crates/door/benches/door.rs
+++ b/crates/door/benches/door.rs
@@ -1,55 +1,62 @@
-//! What the door costs: a pass without pressure, and a place in its queue with few and with many subscribers.
+//! Cost of the admission queue: admission below the limit, and queueing with few and with many subscribers.
 
 use divan::{black_box, Bencher};
-use switchhill_door::{Action, Admission, Arrival, Door, Ended, Settings};
+use switchhill_door::{Action, Admission, AdmissionQueue, Arrival, Outcome, Settings};
 
 fn main() {
     divan::main();
 }
 
-fn arrival(stream: u64, customer: u64) -> Arrival<'static> {
-    Arrival { stream, customer, units: 1.0, wait: 30_000.0, aim: 30_000.0, ..Arrival::default() }
+fn arrival(stream: u64, subscriber: u64) -> Arrival<'static> {
+    Arrival {
+        stream,
+        subscriber,
+        units: 1.0,
+        client_timeout: 30_000.0,
+        latency_target: 30_000.0,
+        ..Arrival::default()
+    }
 }
 
-/// In and out while there is room: what every stream pays on a calm day.
+/// Arrival and completion below the limit: the overhead of every stream without contention.
 #[divan::bench]
 fn uncontended(bencher: Bencher) {
-    let mut door = Door::new(Settings::default());
+    let mut queue = AdmissionQueue::new(Settings::default());
     let mut now = 1e12;
     let mut stream = 0;
     bencher.bench_local(|| {
         stream += 1;
         now += 0.1;
-        black_box(door.arrived(now, &arrival(stream, stream)));
-        door.ended(now, 0, 5.0, Ended::Served);
+        black_box(queue.on_arrival(now, &arrival(stream, stream)));
+        queue.on_completion(now, 0, 5.0, Outcome::Success);
     });
 }
 
-/// One stream in and one out, with so many subscribers waiting, one stream each.
+/// One stream queued and one dispatched, with `flows` subscribers that have one stream queued each.
 #[divan::bench(args = [100, 10_000, 50_000])]
 fn queued(bencher: Bencher, flows: u64) {
-    let mut door = Door::new(Settings {
+    let mut queue = AdmissionQueue::new(Settings {
         memory: 64 << 20,
-        most_bytes: usize::MAX,
-        longest_wait: 8000.0,
+        max_queued_bytes: usize::MAX,
+        max_queue_time: 8000.0,
         limit: (1.0, 1.0, 1.0),
         ..Settings::default()
     });
     let now = 1e12;
-    // A rate that lets so many wait: measured as streams pass.
-    door.arrived(now, &arrival(0, 0));
+    // Completions keep the measured rate high enough for that many streams to be queued.
+    queue.on_arrival(now, &arrival(0, 0));
     let mut stream = 0;
     let mut actions = Vec::new();
     let mut step = 0.0;
-    while (door.held() as u64) < flows {
+    while (queue.queued() as u64) < flows {
         stream += 1;
-        if door.arrived(now + step, &arrival(stream, stream % (2 * flows))) != Admission::Held
+        if queue.on_arrival(now + step, &arrival(stream, stream % (2 * flows))) != Admission::Queued
             || stream % 64 == 0
         {
             step += 0.001;
             for _ in 0..8 {
-                door.ended(now + step, 0, 0.001, Ended::Served);
-                door.poll(now + step, &mut actions);
+                queue.on_completion(now + step, 0, 0.001, Outcome::Success);
+                queue.poll(now + step, &mut actions);
                 actions.clear();
             }
         }
@@ -57,10 +64,10 @@
     let now = now + step;
     bencher.bench_local(|| {
         stream += 1;
-        black_box(door.arrived(now, &arrival(stream, stream % (2 * flows))));
-        door.ended(now, 0, 1.0, Ended::Otherwise);
-        door.poll(now, &mut actions);
-        debug_assert!(actions.iter().all(|action| matches!(action, Action::Pass(..))));
+        black_box(queue.on_arrival(now, &arrival(stream, stream % (2 * flows))));
+        queue.on_completion(now, 0, 1.0, Outcome::Ignored);
+        queue.poll(now, &mut actions);
+        debug_assert!(actions.iter().all(|action| matches!(action, Action::Dispatch(..))));
         actions.clear();
     });
 }
@@ -68,13 +75,13 @@
 /// An arrival that is refused with an appointment.
 #[divan::bench]
 fn refused(bencher: Bencher) {
-    let mut door = Door::new(Settings { limit: (1.0, 1.0, 1.0), ..Settings::default() });
+    let mut queue = AdmissionQueue::new(Settings { limit: (1.0, 1.0, 1.0), ..Settings::default() });
     let mut now = 1e12;
-    door.arrived(now, &arrival(0, 0));
+    queue.on_arrival(now, &arrival(0, 0));
     let mut stream = 0;
     bencher.bench_local(|| {
         stream += 1;
         now += 0.1;
-        black_box(door.arrived(now, &Arrival { scarce: true, ..arrival(stream, stream) }));
+        black_box(queue.on_arrival(now, &Arrival { resources_low: true, ..arrival(stream, stream) }));
     });
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,116 +1,120 @@
-//! A gateway's return after a restart, alone or with most others, or after the shared store was lost.
+//! Recovery of a gateway after a restart, alone or together with most others, or after the loss of the shared
+//! store.
 //!
-//! Four decisions, each a state machine without I/O: when to try again what failed ([`Backoff`]), when to begin what all
-//! would begin at once ([`first_at`]), what of a state that outlived its process may be used ([`Ages::judge`]), and how
-//! far the return has come ([`Return`]). Times are milliseconds of the caller's clock, passed in.
+//! The crate makes four decisions, each without I/O: when to retry a failed operation ([`Backoff`]), when to
+//! start an operation that all gateways would otherwise start at once ([`staggered_start`]), which parts of a
+//! state that outlived its process may be used ([`MaxAges::reuse`]), and how far the recovery has progressed
+//! ([`RecoveryProgress`]). Times are milliseconds of the caller's clock, passed in.
 //!
 //! ```
-//! use switchhill_recovery::{Ages, Part, Use};
+//! use switchhill_recovery::{MaxAges, Reuse, StatePart};
 //!
-//! let ages = Ages::default();
-//! assert_eq!(ages.judge(Part::Prices, 1_000, true), Use::Whole);
-//! assert_eq!(ages.judge(Part::Prices, 60_000, true), Use::Not);
-//! assert_eq!(ages.judge(Part::Slices, 1_000, false), Use::AsBound, "another version: never as a looser rule");
+//! let ages = MaxAges::default();
+//! assert_eq!(ages.reuse(StatePart::Prices, 1_000, true), Reuse::Whole);
+//! assert_eq!(ages.reuse(StatePart::Prices, 60_000, true), Reuse::Not);
+//! assert_eq!(ages.reuse(StatePart::Slices, 1_000, false), Reuse::AsBound, "other settings: only as a bound");
 //! ```
 
 use backon::{BackoffBuilder, ExponentialBackoff, ExponentialBuilder};
 use std::time::Duration;
 
-/// A moment or a span on the caller's clock, in milliseconds.
+/// A time or a duration on the caller's clock, in milliseconds.
 pub type Ms = u64;
 
-/// Waits between tries: full jitter under a ceiling that doubles with each failure.
+/// Exponential backoff with full jitter.
 ///
-/// Each wait is drawn evenly from 1 ms to the ceiling, so that many who failed together come back apart: after a store
-/// was away, the tries of all gateways in any span shorter than the ceiling are a Poisson-like trickle, not a burst.
+/// Each delay is drawn uniformly from 1 ms to a ceiling that doubles with each failure. Clients that failed
+/// together therefore retry at different times: after a store outage, the retries of all gateways within any
+/// interval shorter than the ceiling are nearly Poisson distributed instead of a burst.
 #[derive(Debug)]
 pub struct Backoff {
     builder: ExponentialBuilder,
     ceilings: ExponentialBackoff,
-    longest: Duration,
-    chance: fastrand::Rng,
+    max_delay: Duration,
+    rng: fastrand::Rng,
 }
 
 impl Backoff {
-    /// A first ceiling of `first_ms`, doubled up to `longest_ms`; `seed` is the gateway's told one, so that no two draw
-    /// the same waits.
+    /// The first ceiling is `first_ms`, doubled up to `max_ms`. `seed` must differ between gateways, so that
+    /// no two draw the same delays.
     #[must_use]
-    pub fn new(first_ms: Ms, longest_ms: Ms, seed: u64) -> Self {
-        let longest = Duration::from_millis(longest_ms.max(1));
+    pub fn new(first_ms: Ms, max_ms: Ms, seed: u64) -> Self {
+        let max_delay = Duration::from_millis(max_ms.max(1));
         let builder = ExponentialBuilder::new()
             .with_min_delay(Duration::from_millis(first_ms.max(1)))
-            .with_max_delay(longest)
+            .with_max_delay(max_delay)
             .with_factor(2.0)
             .without_max_times();
-        Self { builder, ceilings: builder.build(), longest, chance: fastrand::Rng::with_seed(seed) }
+        Self { builder, ceilings: builder.build(), max_delay, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// It failed: how long to wait before the next try.
-    pub fn failed(&mut self) -> Ms {
-        let ceiling = self.ceilings.next().unwrap_or(self.longest);
-        self.chance.u64(1..=(ceiling.as_millis() as Ms).max(1))
+    /// Returns the delay before the next attempt after a failure.
+    pub fn next_delay(&mut self) -> Ms {
+        let ceiling = self.ceilings.next().unwrap_or(self.max_delay);
+        self.rng.u64(1..=(ceiling.as_millis() as Ms).max(1))
     }
 
-    /// It went well: the next failure waits little again.
-    pub fn succeeded(&mut self) {
+    /// Resets the ceiling to its first value after a success.
+    pub fn reset(&mut self) {
         self.ceilings = self.builder.build();
     }
 }
 
-/// When, after its start, a gateway begins what all that started with it would begin at once: evenly over `spread_ms` by
-/// its told number, and moved within its own part by its seed.
+/// The delay after its start at which a gateway begins an operation that all gateways started with it would
+/// begin at once. Gateways are spread evenly over `spread_ms` by their ordinal, with a random offset from
+/// `seed` within each gateway's share.
 #[must_use]
-pub fn first_at(spread_ms: Ms, gateways: u32, ordinal: u32, seed: u64) -> Ms {
+pub fn staggered_start(spread_ms: Ms, gateways: u32, ordinal: u32, seed: u64) -> Ms {
     let gateways = u64::from(gateways.max(1));
-    let part = spread_ms / gateways;
-    let within = if part > 0 { fastrand::Rng::with_seed(seed).u64(0..=part) } else { 0 };
-    (u64::from(ordinal) % gateways * spread_ms / gateways + within).min(spread_ms)
+    let slot = spread_ms / gateways;
+    let jitter = if slot > 0 { fastrand::Rng::with_seed(seed).u64(0..=slot) } else { 0 };
+    (u64::from(ordinal) % gateways * spread_ms / gateways + jitter).min(spread_ms)
 }
 
-/// A part of the state that outlives a process.
+/// A part of the state that outlives a process. A log line prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// Hosts that operators called out.
+pub enum StatePart {
+    /// Hosts that operators have cordoned.
     Cordons,
-    /// Discovery's list.
+    /// The list of hosts from discovery.
     List,
-    /// Customers' use and their slices of the quotas.
+    /// Customers' usage and their slices of the quotas.
     Slices,
-    /// What requests cost others, by class.
+    /// Congestion prices by class.
     Prices,
-    /// What is known of hosts' speed and faults.
+    /// Measured speed and faults of hosts.
     Evidence,
 }
 
-/// How a part may be used.
+/// How a part of the state may be reused. A log line prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
-    /// As it was.
+pub enum Reuse {
+    /// Unchanged.
     Whole,
-    /// Only where it is the stricter: it may hold back, never allow.
+    /// Only where it is stricter than the current state: it may restrict, never permit.
     AsBound,
     /// Not at all.
     Not,
 }
 
-/// Up to which age each part is used, in milliseconds.
+/// Maximum age at which each part is reused, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ages {
-    /// Cordons hold back only, so they are good for long.
+pub struct MaxAges {
+    /// Cordons only restrict, so they stay valid for long.
     pub cordons: Ms,
-    /// A list stands in until discovery answers.
+    /// The list is used until discovery responds.
     pub list: Ms,
-    /// Slices as they were: within these many milliseconds no more than a meter period or two has been missed.
+    /// Slices unchanged: within this time no more than one or two meter periods have been missed.
     pub slices: Ms,
-    /// Slices as a bound.
+    /// Slices as an upper bound.
     pub slices_bound: Ms,
-    /// Prices follow the load of seconds.
+    /// Prices follow the load within seconds.
     pub prices: Ms,
-    /// Hosts' speed changes over minutes; a ramp's begin is good as long as the host has not started anew.
+    /// The speed of hosts changes over minutes, and the start of a ramp is valid until the host restarts.
     pub evidence: Ms,
 }
 
-impl Default for Ages {
+impl Default for MaxAges {
     fn default() -> Self {
         Self {
             cordons: 24 * 3_600_000,
@@ -123,37 +127,38 @@
     }
 }
 
-impl Ages {
-    /// How `part` may be used that is `age` old, and was made under the settings in force now or under others.
+impl MaxAges {
+    /// How `part` of the given age may be reused. `same_settings` tells whether it was saved under the
+    /// current settings.
     #[must_use]
-    pub fn judge(&self, part: Part, age: Ms, same_settings: bool) -> Use {
-        let up_to = |most: Ms, how: Use| if age <= most { how } else { Use::Not };
+    pub fn reuse(&self, part: StatePart, age: Ms, same_settings: bool) -> Reuse {
+        let up_to = |most: Ms, how: Reuse| if age <= most { how } else { Reuse::Not };
         match part {
-            Part::Cordons => up_to(self.cordons, Use::AsBound),
-            Part::List => up_to(self.list, Use::AsBound),
-            Part::Slices if same_settings && age <= self.slices => Use::Whole,
-            Part::Slices => up_to(self.slices_bound, Use::AsBound),
-            // Under other settings a price is that of another load; it says nothing.
-            Part::Prices if !same_settings => Use::Not,
-            Part::Prices => up_to(self.prices, Use::Whole),
-            Part::Evidence => up_to(self.evidence, Use::Whole),
+            StatePart::Cordons => up_to(self.cordons, Reuse::AsBound),
+            StatePart::List => up_to(self.list, Reuse::AsBound),
+            StatePart::Slices if same_settings && age <= self.slices => Reuse::Whole,
+            StatePart::Slices => up_to(self.slices_bound, Reuse::AsBound),
+            // Under other settings a price reflects a different load and is meaningless.
+            StatePart::Prices if !same_settings => Reuse::Not,
+            StatePart::Prices => up_to(self.prices, Reuse::Whole),
+            StatePart::Evidence => up_to(self.evidence, Reuse::Whole),
         }
     }
 }
 
-/// How far a return has come. Each phase is reached once, in this order.
+/// Phases of a recovery. Each is reached once, in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// The process runs.
+    /// The process is running.
     #[default]
     Started,
-    /// The shared store has answered, where there is one.
+    /// The shared store has responded, or there is none.
     StoreReached,
-    /// Both registers are confirmed, where there is agreement.
+    /// Both registers are confirmed, or there is no agreement.
     VersionsAgreed,
     /// Hosts are known, and those that take requests are warm.
     HostsWarm,
-    /// For a second nothing was turned away for want of a host, or by price.
+    /// For one second no request was refused for lack of a host or because of its price.
     FullService,
 }
 
@@ -169,55 +174,57 @@
     }
 }
 
-/// What a gateway sees of itself.
+/// What a gateway observes of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
-    /// The store answered, or there is none.
-    pub store: bool,
+pub struct Observation {
+    /// The store has responded, or there is none.
+    pub store_reached: bool,
     /// The registers are confirmed, or there is no agreement.
-    pub versions: bool,
-    /// Hosts are known and none of those in use is cold.
-    pub warm: bool,
-    /// When something was last turned away for want of a host or by price.
-    pub pressed_at: Option<Ms>,
+    pub versions_agreed: bool,
+    /// Hosts are known, and none of those in use is cold.
+    pub hosts_warm: bool,
+    /// When a request was last refused for lack of a host or because of its price.
+    pub last_refused_at: Option<Ms>,
 }
 
-/// Nothing turned away for this long is full service.
-pub const UNPRESSED_MS: Ms = 1000;
+/// Time without refusals after which full service is reached.
+pub const FULL_SERVICE_QUIET_MS: Ms = 1000;
 
-/// The phases of one return.
+/// Tracks the phases of one recovery.
 #[derive(Debug)]
-pub struct Return {
+pub struct RecoveryProgress {
     started: Ms,
     phase: Phase,
 }
 
-impl Return {
-    /// A process that started at `now`.
+impl RecoveryProgress {
+    /// Starts tracking for a process that started at `now`.
     #[must_use]
     pub fn new(now: Ms) -> Self {
         Self { started: now, phase: Phase::Started }
     }
 
-    /// The phase reached.
+    /// The last phase reached.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Looks at what there is at `now`; gives each phase that is reached by it, with how long after the start.
-    pub fn observe(&mut self, now: Ms, seen: Seen) -> Vec<(Phase, Ms)> {
+    /// Advances with the observation at `now`. Returns each phase newly reached and the time since the start.
+    pub fn observe(&mut self, now: Ms, observation: Observation) -> Vec<(Phase, Ms)> {
         let mut reached = Vec::new();
-        let unpressed_since = seen.pressed_at.unwrap_or(self.started).max(self.started);
+        let quiet_since = observation.last_refused_at.unwrap_or(self.started).max(self.started);
         loop {
-            let (next, there) = match self.phase {
-                Phase::Started => (Phase::StoreReached, seen.store),
-                Phase::StoreReached => (Phase::VersionsAgreed, seen.versions),
-                Phase::VersionsAgreed => (Phase::HostsWarm, seen.warm),
-                Phase::HostsWarm => (Phase::FullService, now.saturating_sub(unpressed_since) >= UNPRESSED_MS),
+            let (next, reached_next) = match self.phase {
+                Phase::Started => (Phase::StoreReached, observation.store_reached),
+                Phase::StoreReached => (Phase::VersionsAgreed, observation.versions_agreed),
+                Phase::VersionsAgreed => (Phase::HostsWarm, observation.hosts_warm),
+                Phase::HostsWarm => {
+                    (Phase::FullService, now.saturating_sub(quiet_since) >= FULL_SERVICE_QUIET_MS)
+                }
                 Phase::FullService => break,
             };
-            if !there {
+            if !reached_next {
                 break;
             }
             self.phase = next;
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -1,4 +1,4 @@
-//! Where the loop meets the door: arrivals go in, what is handed on or refused comes out.
+//! Connects the event loop to the admission queue: passes arrivals in and carries out its decisions.
 
 use super::message::{Answer, Message};
 use super::streams::{refusal, SCARCE_HOLD_OFF};
@@ -10,82 +10,82 @@
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::hash::{BuildHasher, RandomState};
-use switchhill_door::{Action, Admission, Arrival, Door, Ended, Keys, Refusal, Settings};
+use switchhill_door::{Action, Admission, AdmissionQueue, Arrival, Outcome, Refusal, Settings, TicketKeys};
 
-/// Share of the memory that the door takes: half a MiB of the least that a gateway gets.
-const SHARE: usize = 32;
-/// Share of what streams may hold in memory that those at the door may.
-const HELD_SHARE: usize = 2;
-/// The class's time where a wait has no end.
-const NO_END: Millis = 60_000.0;
+/// Divisor of the gateway's memory for the admission queue: half a MiB of the minimum that a gateway gets.
+const MEMORY_DIVISOR: usize = 32;
+/// Divisor of the memory for streams that queued streams may occupy.
+const QUEUED_BYTES_DIVISOR: usize = 2;
+/// Timeout of requests that state none, and latency target of unknown classes.
+const UNBOUNDED_WAIT: Millis = 60_000.0;
 
-/// What the loop keeps of a stream that the door has seen.
-struct Known {
+/// A stream known to the admission queue.
+struct TrackedStream {
     terms: Terms,
-    /// When it came; once it is handed on, when that was.
+    /// Time of its arrival or, once dispatched, of its dispatch.
     since: Millis,
-    handed_on: bool,
+    dispatched: bool,
     whole_seconds: bool,
 }
 
-/// The door and the streams that it knows of.
-pub(super) struct AtDoor {
-    door: Door,
-    aims: Vec<Millis>,
+/// The admission queue and the streams it knows.
+pub(super) struct StreamAdmission {
+    queue: AdmissionQueue,
+    latency_targets: Vec<Millis>,
     plans: Vec<String>,
-    known: HashMap<StreamId, Known>,
-    /// Refused on arrival; their fronts are still at work with them.
+    tracked: HashMap<StreamId, TrackedStream>,
+    /// Streams refused on arrival, while their connections are still being processed.
     refused: Vec<(StreamId, Refusal)>,
     actions: Vec<Action>,
 }
 
-impl AtDoor {
-    pub(super) fn new(wanted: &config::Door, told: &Told, memory: usize, most_held: usize) -> Self {
+impl StreamAdmission {
+    pub(super) fn new(operator: &config::Door, told: &Told, memory: usize, most_held: usize) -> Self {
         let plans = &told.module.plans;
-        let own = |n: usize, rate: f64| {
-            let weight = wanted.weights.iter().find(|(name, ..)| *name == told.plans[n]);
+        let weight_of = |n: usize, rate: f64| {
+            let weight = operator.weights.iter().find(|(name, ..)| *name == told.plans[n]);
             weight.map_or(if rate > 0.0 { rate } else { 1.0 }, |(_, weight, _)| *weight)
         };
-        // What the settings say of hold-offs stands over what the operator says.
-        let longest = match told.module.limits.max_hold_off {
-            most if most > 0.0 => most.min(wanted.longest_hold_off),
-            _ => wanted.longest_hold_off,
+        // A maximum in the settings takes precedence over a larger one in the operator's file.
+        let max_retry_after = match told.module.limits.max_hold_off {
+            most if most > 0.0 => most.min(operator.longest_hold_off),
+            _ => operator.longest_hold_off,
         };
         let random = || RandomState::new().hash_one(0).to_le_bytes();
-        let mut key = [0; 16];
-        key[..8].copy_from_slice(&random());
-        key[8..].copy_from_slice(&random());
-        let mut door = Door::new(Settings {
-            classes: told.module.classes.len(),
-            weights: plans.iter().enumerate().map(|(n, plan)| own(n, plan.rate)).collect(),
-            memory: memory / SHARE,
-            most_bytes: most_held / HELD_SHARE,
-            longest_wait: wanted.longest_wait,
-            per_subscriber: wanted.per_subscriber,
-            limit: wanted.limit,
-            book_share: wanted.book_share,
-            longest_hold_off: longest,
-            grace: wanted.grace,
-            key,
+        let mut hash_key = [0; 16];
+        hash_key[..8].copy_from_slice(&random());
+        hash_key[8..].copy_from_slice(&random());
+        let mut queue = AdmissionQueue::new(Settings {
+            class_count: told.module.classes.len(),
+            plan_weights: plans.iter().enumerate().map(|(n, plan)| weight_of(n, plan.rate)).collect(),
+            memory: memory / MEMORY_DIVISOR,
+            max_queued_bytes: most_held / QUEUED_BYTES_DIVISOR,
+            max_queue_time: operator.longest_wait,
+            max_queued_per_subscriber: operator.per_subscriber,
+            limit: operator.limit,
+            appointment_share: operator.book_share,
+            max_retry_after,
+            appointment_grace: operator.grace,
+            hash_key,
         });
-        door.use_keys(wanted.keys.clone());
+        queue.set_ticket_keys(operator.keys.clone());
         Self {
-            door,
-            aims: told.module.classes.iter().map(|class| class.aim).collect(),
+            queue,
+            latency_targets: told.module.classes.iter().map(|class| class.aim).collect(),
             plans: told.plans.clone(),
-            known: HashMap::new(),
+            tracked: HashMap::new(),
             refused: Vec::new(),
             actions: Vec::new(),
         }
     }
 
-    pub(super) fn use_keys(&mut self, keys: Keys) {
-        self.door.use_keys(keys);
+    pub(super) fn set_ticket_keys(&mut self, keys: TicketKeys) {
+        self.queue.set_ticket_keys(keys);
     }
 
-    pub(super) fn next_due(&self) -> Option<Millis> {
+    pub(super) fn next_poll_at(&self) -> Option<Millis> {
         if self.refused.is_empty() {
-            self.door.next_due()
+            self.queue.next_poll_at()
         } else {
             Some(0.0)
         }
@@ -94,89 +94,95 @@
     fn arrival<'a>(&self, stream: StreamId, terms: &Terms, whole_seconds: bool) -> Arrival<'a> {
         Arrival {
             stream,
-            customer: terms.customer,
+            subscriber: terms.customer,
             class: terms.class,
             plan: terms.plan,
             units: terms.units,
-            wait: if terms.wait > 0.0 { terms.wait } else { NO_END },
-            aim: self.aims.get(terms.class).copied().unwrap_or(NO_END),
+            client_timeout: if terms.wait > 0.0 { terms.wait } else { UNBOUNDED_WAIT },
+            latency_target: self.latency_targets.get(terms.class).copied().unwrap_or(UNBOUNDED_WAIT),
             whole_seconds,
             ..Arrival::default()
         }
     }
 
-    /// A stream's exchange is over, whatever became of it.
-    pub(super) fn gone(&mut self, now: Millis, stream: StreamId) {
-        self.ended(now, stream, Ended::Otherwise);
+    /// Removes a stream whose exchange is closed for any reason.
+    pub(super) fn on_exchange_closed(&mut self, now: Millis, stream: StreamId) {
+        self.on_completion(now, stream, Outcome::Ignored);
     }
 
-    /// A stream that was handed on has its answer.
-    pub(super) fn ended(&mut self, now: Millis, stream: StreamId, how: Ended) {
-        let Some(known) = self.known.remove(&stream) else { return };
-        if known.handed_on {
-            self.door.ended(now, known.terms.class, now - known.since, how);
+    /// Removes a stream that was dispatched and has completed, or that is still queued.
+    pub(super) fn on_completion(&mut self, now: Millis, stream: StreamId, outcome: Outcome) {
+        let Some(tracked) = self.tracked.remove(&stream) else { return };
+        if tracked.dispatched {
+            self.queue.on_completion(now, tracked.terms.class, now - tracked.since, outcome);
         } else {
-            self.door.left(stream);
+            self.queue.cancel(stream);
         }
     }
 
-    /// The decisions have refused a stream: it has ended, and where they wanted room, what its client is told.
-    pub(super) fn refused_behind(&mut self, now: Millis, stream: StreamId, why: Why) -> Option<Refusal> {
-        let known = self.known.get(&stream)?;
-        let pressed = matches!(why, Why::Price | Why::NoBackend | Why::Spent);
-        let arrival = self.arrival(stream, &known.terms, known.whole_seconds);
-        self.ended(now, stream, if pressed { Ended::Pressed } else { Ended::Otherwise });
-        pressed.then(|| self.door.refused_behind(now, &arrival))
+    /// Removes a stream that the core has refused. Returns advice for its client if the refusal was for lack
+    /// of capacity.
+    pub(super) fn refuse_after_dispatch(
+        &mut self,
+        now: Millis,
+        stream: StreamId,
+        why: Why,
+    ) -> Option<Refusal> {
+        let tracked = self.tracked.get(&stream)?;
+        let no_capacity = matches!(why, Why::Price | Why::NoBackend | Why::Spent);
+        let arrival = self.arrival(stream, &tracked.terms, tracked.whole_seconds);
+        self.on_completion(now, stream, if no_capacity { Outcome::Dropped } else { Outcome::Ignored });
+        no_capacity.then(|| self.queue.refuse_after_dispatch(now, &arrival))
     }
 
-    /// Its figures, in the form of the counters.
-    pub(super) fn figures(&self) -> String {
+    /// Metrics in the text format of the gateway's counters.
+    pub(super) fn metrics_text(&self) -> String {
         let mut text = String::new();
-        let (open, limit) = self.door.open();
-        let _ = writeln!(text, "switchhill_door_held_now {}", self.door.held());
-        let _ = writeln!(text, "switchhill_door_open_now {open}");
+        let (in_flight, limit) = self.queue.concurrency();
+        let _ = writeln!(text, "switchhill_door_held_now {}", self.queue.queued());
+        let _ = writeln!(text, "switchhill_door_open_now {in_flight}");
         let _ = writeln!(text, "switchhill_door_limit {limit:.1}");
-        let _ = writeln!(text, "switchhill_door_memory_bytes {}", self.door.memory());
-        for (name, value) in self.door.figures().list() {
+        let _ = writeln!(text, "switchhill_door_memory_bytes {}", self.queue.memory_bytes());
+        for (name, value) in self.queue.counters().entries() {
             let _ = writeln!(text, "switchhill_door_{name} {value}");
         }
-        for (plan, sojourn) in self.plans.iter().zip(self.door.sojourn()) {
+        for (plan, sojourn) in self.plans.iter().zip(self.queue.sojourn()) {
             for quantile in [0.5, 0.9, 0.99, 1.0] {
                 let ms = sojourn.value_at_quantile(quantile) as f64 / 10.0;
                 let labels = format!("plan=\"{plan}\",quantile=\"{quantile}\"");
                 let _ = writeln!(text, "switchhill_door_sojourn_ms{{{labels}}} {ms:.1}");
             }
         }
-        for busy in self.door.busiest().iter().take(8) {
-            let labels = format!("customer=\"{:016x}\",at_most_less=\"{}\"", busy.subscriber, busy.error);
-            let _ = writeln!(text, "switchhill_door_busiest{{{labels}}} {}", busy.count);
+        for hitter in self.queue.heavy_hitters().iter().take(8) {
+            let labels = format!("customer=\"{:016x}\",at_most_less=\"{}\"", hitter.subscriber, hitter.error);
+            let _ = writeln!(text, "switchhill_door_busiest{{{labels}}} {}", hitter.count);
         }
         text
     }
 }
 
-/// The answer to a stream that the door refuses.
-pub(super) fn told(told: &Refusal, downstream: Downstream) -> Answer {
-    let mut answer = refusal(told.hold_off, downstream);
-    if let Some(ticket) = &told.ticket {
+/// The response to a stream that the admission queue refuses.
+pub(super) fn refusal_answer(advice: &Refusal, downstream: Downstream) -> Answer {
+    let mut answer = refusal(advice.retry_after, downstream);
+    if let Some(ticket) = &advice.ticket {
         answer.header("x-appointment", ticket.as_bytes());
     }
     answer
 }
 
 impl Gateway {
-    /// The answer to a request for which descriptors or memory are short.
-    pub(super) fn short_of_room(&mut self, downstream: Downstream, message: &Message) -> Answer {
-        if let (Some(at), Ok(terms)) = (&mut self.door, message.terms(&self.told)) {
-            let arrival = at.arrival(StreamId::MAX, &terms, downstream.whole_seconds());
-            return told(&at.door.refused_scarce(self.now, &arrival), downstream);
+    /// The response to a request for which descriptors or memory are low.
+    pub(super) fn refuse_low_resources(&mut self, downstream: Downstream, message: &Message) -> Answer {
+        if let (Some(admission), Ok(terms)) = (&mut self.door, message.terms(&self.told)) {
+            let arrival = admission.arrival(StreamId::MAX, &terms, downstream.whole_seconds());
+            return refusal_answer(&admission.queue.refuse_low_resources(self.now, &arrival), downstream);
         }
         refusal(SCARCE_HOLD_OFF, downstream)
     }
 
-    /// Passes a stream by the door, if there is one, to the core.
-    pub(super) fn at_door(&mut self, id: StreamId, terms: Terms) {
-        let Some(at) = &mut self.door else {
+    /// Submits a stream to the admission queue, or to the core if there is none.
+    pub(super) fn submit_to_admission(&mut self, id: StreamId, terms: Terms) {
+        let Some(admission) = &mut self.door else {
             self.inputs.push(Input::StreamArrived(id, terms));
             return;
         };
@@ -184,57 +190,63 @@
         let whole_seconds = downstream.whole_seconds();
         let arrival = Arrival {
             bytes: message.size(),
-            // Held streams keep a descriptor and their bytes: nothing is held once three quarters of the one or
-            // half of the other are taken.
-            scarce: self.downstreams * 4 > self.most_downstreams * 3 || self.held_bytes * 2 > self.most_held,
+            // A queued stream occupies a descriptor and its bytes. Nothing is queued once three quarters of
+            // the descriptors or half of the bytes are in use.
+            resources_low: self.downstreams * 4 > self.most_downstreams * 3
+                || self.held_bytes * 2 > self.most_held,
             ticket: message.ticket(),
-            ..at.arrival(id, &terms, whole_seconds)
+            ..admission.arrival(id, &terms, whole_seconds)
         };
-        let admission = at.door.arrived(self.now, &arrival);
-        let known = Known { terms, since: self.now, handed_on: admission == Admission::Pass, whole_seconds };
-        match admission {
-            Admission::Pass => {
-                self.inputs.push(Input::StreamArrived(id, known.terms.clone()));
-                at.known.insert(id, known);
+        let decision = admission.queue.on_arrival(self.now, &arrival);
+        let tracked = TrackedStream {
+            terms,
+            since: self.now,
+            dispatched: decision == Admission::Admitted,
+            whole_seconds,
+        };
+        match decision {
+            Admission::Admitted => {
+                self.inputs.push(Input::StreamArrived(id, tracked.terms.clone()));
+                admission.tracked.insert(id, tracked);
             }
-            Admission::Held => drop(at.known.insert(id, known)),
-            // Its front still has its connection in hand: the answer goes out later in this round.
-            Admission::Refused(refusal) => at.refused.push((id, refusal)),
+            Admission::Queued => drop(admission.tracked.insert(id, tracked)),
+            // The caller still holds the connection, so the response is sent later in this round.
+            Admission::Refused(refusal) => admission.refused.push((id, refusal)),
         }
     }
 
-    /// Carries out what the door has decided since the last round.
-    pub(super) fn door_round(&mut self) {
-        let Some(at) = &mut self.door else { return };
-        let mut refused = std::mem::take(&mut at.refused);
-        let mut actions = std::mem::take(&mut at.actions);
-        at.door.poll(self.now, &mut actions);
+    /// Carries out the decisions of the admission queue since the last round.
+    pub(super) fn poll_admission(&mut self) {
+        let Some(admission) = &mut self.door else { return };
+        let mut refused = std::mem::take(&mut admission.refused);
+        let mut actions = std::mem::take(&mut admission.actions);
+        admission.queue.poll(self.now, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Pass(stream, waited) => {
-                    let Some(known) = at.known.get_mut(&stream) else { continue };
-                    known.handed_on = true;
-                    known.since = self.now;
-                    let mut terms = known.terms.clone();
+                Action::Dispatch(stream, waited) => {
+                    let Some(tracked) = admission.tracked.get_mut(&stream) else { continue };
+                    tracked.dispatched = true;
+                    tracked.since = self.now;
+                    let mut terms = tracked.terms.clone();
                     terms.wait = (terms.wait - waited).max(0.0);
                     self.inputs.push(Input::StreamArrived(stream, terms));
                 }
                 Action::Refuse(stream, refusal) => {
-                    at.known.remove(&stream);
+                    admission.tracked.remove(&stream);
                     refused.push((stream, refusal));
                 }
             }
         }
-        at.actions = actions;
+        admission.actions = actions;
         for (stream, refusal) in refused.drain(..) {
             let Some(exchange) = self.take_exchange(stream) else { continue };
-            let answer = told(&refusal, exchange.downstream);
+            let answer = refusal_answer(&refusal, exchange.downstream);
             self.answer(exchange.downstream, exchange.deadline, answer);
         }
-        if let Some(at) = &mut self.door {
-            // What the answers let in may be refused in turn.
-            refused.append(&mut at.refused);
-            at.refused = refused;
+        if let Some(admission) = &mut self.door {
+            // Requests read after these responses may have been refused in turn.
+            refused.append(&mut admission.refused);
+            admission.refused = refused;
         }
     }
 }
