--- a/crates/control/src/placer.rs
+++ b/crates/control/src/placer.rs
@@ -159,7 +159,7 @@
         }
         self.placer.next_account = now + ACCOUNT_EVERY;
         for (service, numbered) in &mut self.placer.planners {
-            let account = numbered.planner.take_account();
+            let account = numbered.planner.take_counters();
             if !account.is_empty() {
                 log::info!("placement of {service}: {account}");
             }
@@ -249,7 +249,7 @@
                 model: entry.model.clone(),
                 adapter: some_name(&entry.adapter),
                 requests_per_s: entry.requests_per_s,
-                urgency_ms: entry.aim_ms,
+                latency_target_ms: entry.aim_ms,
                 outstanding: entry.outstanding,
                 waiting: 0,
             };
@@ -277,7 +277,7 @@
                 model: missing.model.clone(),
                 adapter: some_name(&missing.adapter),
                 waiting: missing.waiting,
-                aim_ms: missing.aim_ms,
+                latency_target_ms: missing.aim_ms,
             };
             self.planner(now, &missing.service, input);
         } else if may_pass_on {
@@ -356,12 +356,12 @@
                 };
                 self.out.push(Output::Order(call));
             }
-            PlannerOutput::AskReport { worker, address } => {
+            PlannerOutput::RequestReport { worker, address } => {
                 let call = ReportCall { service: service.to_owned(), epoch, worker: worker.0, address };
                 self.out.push(Output::AskReport(call));
             }
             PlannerOutput::Resident { worker, models } => self.planner_resident(now, epoch, worker, models),
-            PlannerOutput::Expect { model, adapter, ready_in_ms } => {
+            PlannerOutput::ReadyEstimate { model, adapter, ready_in_ms } => {
                 let service = service.to_owned();
                 let adapter = adapter.unwrap_or_default();
                 let expectation = Expectation { service, model, adapter, ready_in_ms };
--- a/crates/placement/src/account.rs
+++ b/crates/placement/src/account.rs
@@ -1,75 +1,78 @@
-//! What became of requests for models and adapters that stand nowhere, counted for the log.
+//! Counters of placement attempts for requested models and adapters that no worker serves, written to the log.
 
 use std::fmt;
 
-/// What a load lacked that could not be planned. Of several, the one that was met last on the way to a worker.
+/// Why a load could not be planned. Worker, token and memory are checked in this order; the first that is lacking is
+/// counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Obstacle {
-    /// A free worker: every one loads, is unknown or has lately rejected the model.
-    Worker,
-    /// A token of the weight store.
-    Token,
-    /// Room: what stands on the workers may not give way at the price that the load is worth.
-    Room,
+pub(crate) enum PlacementFailure {
+    /// No free worker: each is loading a model, is unconfirmed or rejected the model recently.
+    NoFreeWorker,
+    /// No token of the weight store's rate limit.
+    NoStoreToken,
+    /// No memory: the models in the way must not be evicted, or only at a higher cost than the load is worth.
+    NoMemory,
 }
 
 /// Counts since they were last taken.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PlacementAccount {
-    /// Reports of waiting requests for something that stands, by the planner's record: its router does not know.
-    pub asked_while_standing: u32,
-    /// Reports of waiting requests for something that is on its way.
-    pub asked_while_coming: u32,
+pub struct PlacementCounters {
+    /// Reports of waiting requests for something that is served according to the planner's record: the reporting
+    /// router does not know it yet.
+    pub reports_while_served: u32,
+    /// Reports of waiting requests for something whose load is planned or under way.
+    pub reports_while_loading: u32,
     /// Reports of waiting requests for something that is not planned.
-    pub asked_while_unplanned: u32,
-    /// Tries to plan a load that met no free worker.
-    pub no_worker: u32,
-    /// Tries that met no token of the weight store.
-    pub no_token: u32,
-    /// Tries that met no room.
-    pub no_room: u32,
-    /// Wants dropped because nobody had asked for a while, without a load.
-    pub forgotten: u32,
-    /// Workers on which room for a load was looked for.
+    pub reports_while_unplanned: u32,
+    /// Attempts to plan a load that found no free worker.
+    pub no_free_worker: u32,
+    /// Attempts that found no token of the weight store.
+    pub no_store_token: u32,
+    /// Attempts that found no memory at an acceptable eviction cost.
+    pub no_memory: u32,
+    /// Missing models and adapters dropped without a load because they were no longer requested.
+    pub expired: u32,
+    /// Workers evaluated for a load.
     pub workers_considered: u32,
     /// Loads planned because requests waited for the model.
     pub loads_for_missing: u32,
-    /// Loads of further copies.
-    pub loads_of_copies: u32,
+    /// Loads of further replicas.
+    pub replica_loads: u32,
 }
 
-impl PlacementAccount {
-    /// Whether nothing worth a line was counted.
+impl PlacementCounters {
+    /// Whether all counters are zero.
     pub fn is_empty(&self) -> bool {
-        *self == PlacementAccount::default()
+        *self == PlacementCounters::default()
     }
 
-    pub(crate) fn met(&mut self, obstacle: Obstacle) {
-        let count = match obstacle {
-            Obstacle::Worker => &mut self.no_worker,
-            Obstacle::Token => &mut self.no_token,
-            Obstacle::Room => &mut self.no_room,
+    pub(crate) fn count_failure(&mut self, failure: PlacementFailure) {
+        let count = match failure {
+            PlacementFailure::NoFreeWorker => &mut self.no_free_worker,
+            PlacementFailure::NoStoreToken => &mut self.no_store_token,
+            PlacementFailure::NoMemory => &mut self.no_memory,
         };
         *count += 1;
     }
 }
 
-impl fmt::Display for PlacementAccount {
+impl fmt::Display for PlacementCounters {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             out,
-            "asked for while standing {}, coming {}, unplanned {}; tries without worker {}, token {}, room {}; \
-             workers considered {}; forgotten {}; loads for missing {}, of copies {}",
-            self.asked_while_standing,
-            self.asked_while_coming,
-            self.asked_while_unplanned,
-            self.no_worker,
-            self.no_token,
-            self.no_room,
+            "reports of missing models that are served {}, loading {}, unplanned {}; attempts without free worker {}, \
+             store token {}, memory {}; workers considered {}; expired {}; loads for missing models {}, of further \
+             replicas {}",
+            self.reports_while_served,
+            self.reports_while_loading,
+            self.reports_while_unplanned,
+            self.no_free_worker,
+            self.no_store_token,
+            self.no_memory,
             self.workers_considered,
-            self.forgotten,
+            self.expired,
             self.loads_for_missing,
-            self.loads_of_copies,
+            self.replica_loads,
         )
     }
 }
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -38,7 +38,7 @@
     pub(crate) requests_per_s: f64,
     pub(crate) outstanding: u32,
     pub(crate) waiting: u32,
-    pub(crate) urgency_ms: u64,
+    pub(crate) latency_target_ms: u64,
 }
 
 impl Sample {
@@ -81,7 +81,7 @@
     /// Slots that will be occupied a few seconds ahead if a rise beyond chance goes on.
     pub(crate) slots_ahead: f64,
     /// Smallest latency aim of current requests, in milliseconds.
-    pub(crate) urgency_ms: u64,
+    pub(crate) latency_target_ms: u64,
     /// Copies needed so that the adapters in use find slots.
     pub(crate) for_adapters: usize,
     /// Copies below which another is loaded.
@@ -146,8 +146,8 @@
             self.entries.values().filter(|entry| now.saturating_sub(entry.told_at) <= FRESH_MS).collect();
         let rate: f64 = fresh.iter().map(|entry| entry.sample.requests_per_s).sum();
         let slots: f64 = fresh.iter().map(|entry| entry.sample.slots()).sum();
-        let aims = fresh.iter().map(|entry| entry.sample.urgency_ms).filter(|aim| *aim > 0);
-        self.urgency_ms = aims.min().unwrap_or(self.urgency_ms);
+        let aims = fresh.iter().map(|entry| entry.sample.latency_target_ms).filter(|aim| *aim > 0);
+        self.latency_target_ms = aims.min().unwrap_or(self.latency_target_ms);
         self.samples = self.samples.saturating_add(1);
         self.slots += self.weight(QUICK) * (slots - self.slots);
         self.held_slots = self.slots.max(self.held_slots * HELD_SHARE);
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -24,7 +24,7 @@
 mod unheard;
 mod worker;
 
-pub use account::PlacementAccount;
+pub use account::PlacementCounters;
 pub use message::{
     Input, Operation, OrderAnswer, OrderId, Output, Resident, WorkerId, WorkerState, WorkerView,
 };
--- a/crates/placement/src/message.rs
+++ b/crates/placement/src/message.rs
@@ -89,7 +89,7 @@
         /// Requests that arrive a second.
         requests_per_s: f64,
         /// Smallest latency aim among them, in milliseconds.
-        urgency_ms: u64,
+        latency_target_ms: u64,
         /// Requests outstanding at workers, running or queued; 0 where it isn't known.
         outstanding: u32,
         /// Requests held because no worker can take them.
@@ -104,7 +104,7 @@
         /// Requests held or refused for this.
         waiting: u32,
         /// Their smallest latency aim, in milliseconds.
-        aim_ms: u64,
+        latency_target_ms: u64,
     },
     /// How much a worker has to do.
     Load {
@@ -171,7 +171,7 @@
         if_revision: Option<u64>,
     },
     /// Ask a worker for its report; an answer that never comes is asked for again.
-    AskReport {
+    RequestReport {
         /// The worker.
         worker: WorkerId,
         /// Its address.
@@ -185,7 +185,7 @@
         models: Vec<Resident>,
     },
     /// Answer to [`Input::Missing`], repeated when it changes.
-    Expect {
+    ReadyEstimate {
         /// Name of the model.
         model: String,
         /// Name of the adapter, where one was missing.
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 use slotmap::SlotMap;
 
-use crate::account::PlacementAccount;
+use crate::account::PlacementCounters;
 use crate::catalogue::{Catalogue, ModelIndex};
 use crate::demand::{ModelDemand, Sample};
 use crate::message::{Input, Operation, OrderId, Output, Resident, WorkerId, WorkerState, WorkerView};
@@ -74,7 +74,7 @@
     /// Reports of requests for what stands.
     pub(crate) unheard: UnheardTable,
     /// What became of requests for what stands nowhere, for the log.
-    pub(crate) account: PlacementAccount,
+    pub(crate) counters: PlacementCounters,
     next_order: u64,
     next_policy_at: u64,
     next_sample_at: u64,
@@ -112,7 +112,7 @@
             tokens_kept_for_crowded: 0.0,
             turns: Turns::default(),
             unheard: UnheardTable::default(),
-            account: PlacementAccount::default(),
+            counters: PlacementCounters::default(),
             next_order: now.saturating_mul(ORDERS_A_MS) + 1,
             next_policy_at: now,
             next_sample_at: now,
@@ -135,8 +135,8 @@
     }
 
     /// Takes what was counted since the last call.
-    pub fn take_account(&mut self) -> PlacementAccount {
-        std::mem::take(&mut self.account)
+    pub fn take_counters(&mut self) -> PlacementCounters {
+        std::mem::take(&mut self.counters)
     }
 
     /// Takes one input and returns what is to be done for it. `now` is in milliseconds and never goes back.
@@ -146,12 +146,12 @@
         }
         match input {
             Input::Workers(views) => self.update_workers(now, &views),
-            Input::Demand { model, adapter, requests_per_s, urgency_ms, outstanding, waiting } => {
-                let sample = Sample { requests_per_s, outstanding, waiting, urgency_ms };
+            Input::Demand { model, adapter, requests_per_s, latency_target_ms, outstanding, waiting } => {
+                let sample = Sample { requests_per_s, outstanding, waiting, latency_target_ms };
                 self.tell_demand(now, &model, adapter, sample);
             }
-            Input::Missing { model, adapter, waiting, aim_ms } => {
-                self.note_missing(now, model, adapter, waiting, aim_ms);
+            Input::Missing { model, adapter, waiting, latency_target_ms } => {
+                self.note_missing(now, model, adapter, waiting, latency_target_ms);
             }
             Input::Load { worker, running, queued, kv_used, kv_total } => {
                 self.note_load(&worker, running + queued, kv_used, kv_total);
--- a/crates/placement/src/policy/anticipation.rs
+++ b/crates/placement/src/policy/anticipation.rs
@@ -83,7 +83,7 @@
 
     fn urgent_slots(&self, model: ModelIndex) -> f64 {
         let load_ms = self.catalogue.spec(model).load_ms;
-        let urgent = self.demand.get(&model).filter(|demand| demand.urgency_ms < load_ms);
+        let urgent = self.demand.get(&model).filter(|demand| demand.latency_target_ms < load_ms);
         urgent.map_or(0.0, |demand| demand.slots)
     }
 
--- a/crates/placement/src/policy/choice.rs
+++ b/crates/placement/src/policy/choice.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::account::Obstacle;
+use crate::account::PlacementFailure;
 use crate::catalogue::ModelIndex;
 use crate::message::Operation;
 use crate::orders::UNLOAD_MS;
@@ -64,13 +64,13 @@
         let mut best: Option<(f64, WorkerKey, Victims)> = None;
         let candidates = match self.candidates(now, model, store_open) {
             Ok(candidates) => candidates,
-            Err(obstacle) => {
-                self.account.met(obstacle);
+            Err(failure) => {
+                self.counters.count_failure(failure);
                 return false;
             }
         };
         for key in candidates {
-            self.account.workers_considered += 1;
+            self.counters.workers_considered += 1;
             let Some(victims) = self.choose_victims(now, key, model, reason) else { continue };
             let score = self.delay_score(now, key, model, &victims, &zones);
             if best.as_ref().is_none_or(|(least, _, _)| score < *least) {
@@ -78,7 +78,7 @@
             }
         }
         let Some((_, key, victims)) = best else {
-            self.account.met(Obstacle::Room);
+            self.counters.count_failure(PlacementFailure::NoMemory);
             return false;
         };
         self.note_turn(key, model, reason);
@@ -93,11 +93,11 @@
         now: u64,
         model: ModelIndex,
         store_open: bool,
-    ) -> Result<Vec<WorkerKey>, Obstacle> {
+    ) -> Result<Vec<WorkerKey>, PlacementFailure> {
         let free: Vec<WorkerKey> =
             self.workers.keys().filter(|key| self.may_load(now, *key, model)).collect();
         if free.is_empty() {
-            return Err(Obstacle::Worker);
+            return Err(PlacementFailure::NoFreeWorker);
         }
         let has_held = |key: &WorkerKey| self.workers[*key].held.contains(&model);
         let (mut candidates, mut others): (Vec<WorkerKey>, Vec<WorkerKey>) =
@@ -112,7 +112,7 @@
         }
         candidates.extend(others.into_iter().take(drawn));
         match candidates.is_empty() {
-            true => Err(Obstacle::Token),
+            true => Err(PlacementFailure::NoStoreToken),
             false => Ok(candidates),
         }
     }
@@ -121,10 +121,8 @@
     fn note_turn(&mut self, key: WorkerKey, model: ModelIndex, reason: Reason) {
         let stands_nowhere = self.copies_of(model).count() == 0;
         match reason {
-            Reason::Missing { .. } => self.account.loads_for_missing += 1,
-            Reason::Crowded { .. } | Reason::Growth | Reason::Anticipated => {
-                self.account.loads_of_copies += 1
-            }
+            Reason::Missing { .. } => self.counters.loads_for_missing += 1,
+            Reason::Crowded { .. } | Reason::Growth | Reason::Anticipated => self.counters.replica_loads += 1,
         }
         if stands_nowhere && matches!(reason, Reason::Missing { .. }) {
             self.turns.missing_planned();
--- a/crates/placement/src/policy/growth.rs
+++ b/crates/placement/src/policy/growth.rs
@@ -36,7 +36,7 @@
             let for_load = (demand.slots_ahead / (slots * wanted_occupancy)).ceil() as usize;
             let active = demand.adapters(now, ACTIVE_ADAPTER_MS).count() as f64;
             let for_adapters = (active / (adapter_slots * ADAPTERS_PER_SLOT)).ceil() as usize;
-            let urgent = demand.urgency_ms < load_ms;
+            let urgent = demand.latency_target_ms < load_ms;
             let for_loss = if urgent && demand.slow_rate >= TWO_COPIES_RATE { 2 } else { 0 };
             demand.for_adapters = for_adapters;
             demand.target = for_load.max(for_adapters).max(for_loss).min(ready);
--- a/crates/placement/src/policy/missing.rs
+++ b/crates/placement/src/policy/missing.rs
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 struct MissingEntry {
     waiting: u32,
-    aim_ms: u64,
+    latency_target_ms: u64,
     first_at: u64,
     last_at: u64,
     told: Option<ToldExpectation>,
@@ -93,16 +93,16 @@
         wants.filter(|want| want.adapter.is_some()).map(|want| self.pressure(now, want)).sum()
     }
 
-    fn note(&mut self, now: u64, want: &Want, waiting: u32, aim_ms: u64) {
+    fn note(&mut self, now: u64, want: &Want, waiting: u32, latency_target_ms: u64) {
         let entry = self.entries.entry(want.clone()).or_insert(MissingEntry {
             waiting: 0,
-            aim_ms: u64::MAX,
+            latency_target_ms: u64::MAX,
             first_at: now,
             last_at: now,
             told: None,
         });
         entry.waiting = entry.waiting.max(waiting).max(1);
-        entry.aim_ms = entry.aim_ms.min(aim_ms.max(1));
+        entry.latency_target_ms = entry.latency_target_ms.min(latency_target_ms.max(1));
         entry.last_at = now;
     }
 
@@ -155,7 +155,7 @@
 
 impl MissingEntry {
     fn rank(&self, now: u64) -> f64 {
-        let urgency = 1.0 + USUAL_AIM_MS / self.aim_ms as f64;
+        let urgency = 1.0 + USUAL_AIM_MS / self.latency_target_ms as f64;
         f64::from(self.waiting) * urgency + self.age_s(now)
     }
 
@@ -172,28 +172,28 @@
         model: String,
         adapter: Option<String>,
         waiting: u32,
-        aim_ms: u64,
+        latency_target_ms: u64,
     ) {
         let known = self.catalogue.configured(&model);
         let offered = known.filter(|index| self.catalogue.has_adapter(*index, adapter.as_deref()));
         let Some(index) = offered else {
-            self.outputs.push(Output::Expect { model, adapter, ready_in_ms: None });
+            self.outputs.push(Output::ReadyEstimate { model, adapter, ready_in_ms: None });
             return;
         };
         self.demand.entry(index).or_default().ask(now, adapter.clone());
         let want = Want { model: index, adapter };
         if self.stands(&want) {
-            self.account.asked_while_standing += 1;
+            self.counters.reports_while_served += 1;
             self.answer_standing(now, &want);
             return;
         }
-        self.missing.note(now, &want, waiting, aim_ms);
+        self.missing.note(now, &want, waiting, latency_target_ms);
         if !self.must_queue(&want) {
             self.try_serve(now, &want);
         }
         match self.is_planned(&want) {
-            true => self.account.asked_while_coming += 1,
-            false => self.account.asked_while_unplanned += 1,
+            true => self.counters.reports_while_loading += 1,
+            false => self.counters.reports_while_unplanned += 1,
         }
         self.tell_asked(now, &want);
     }
@@ -218,7 +218,7 @@
             let forgotten = silent && self.copies_of(want.model).coming.is_empty();
             let stands = self.stands(&want);
             if forgotten || stands {
-                self.account.forgotten += u32::from(!stands);
+                self.counters.expired += u32::from(!stands);
                 self.missing.entries.remove(&want);
             }
         }
@@ -313,7 +313,7 @@
 
     fn tell_expected(&mut self, want: &Want, ready_in_ms: Option<u64>) {
         let model = self.catalogue.spec(want.model).name.clone();
-        self.outputs.push(Output::Expect { model, adapter: want.adapter.clone(), ready_in_ms });
+        self.outputs.push(Output::ReadyEstimate { model, adapter: want.adapter.clone(), ready_in_ms });
     }
 
     /// Time until a want should stand, in milliseconds, or none if nothing is planned for want of room.
--- a/crates/placement/src/policy/victims.rs
+++ b/crates/placement/src/policy/victims.rs
@@ -182,7 +182,7 @@
 impl OnlyCopy {
     fn new(demand: &ModelDemand, idle_ms: u64, load_ms: u64) -> Self {
         let load_s = load_ms as f64 / 1_000.0;
-        let urgent = demand.urgency_ms < load_ms;
+        let urgent = demand.latency_target_ms < load_ms;
         let each = if urgent { cost::MISSED_URGENT } else { cost::MISSED_PATIENT };
         Self { idle_ms, missed: demand.slow_rate * load_s, missed_cost: demand.popularity * load_s * each }
     }
--- a/crates/placement/src/reports.rs
+++ b/crates/placement/src/reports.rs
@@ -19,7 +19,8 @@
         let worker = &mut self.workers[key];
         let again_at = now + (REPORT_TIMEOUT_MS << worker.asked.min(REPORT_DOUBLINGS));
         worker.asked += 1;
-        self.outputs.push(Output::AskReport { worker: worker.id.clone(), address: worker.address.clone() });
+        self.outputs
+            .push(Output::RequestReport { worker: worker.id.clone(), address: worker.address.clone() });
         self.wait_for_report(key, again_at);
         self.refresh(key);
     }
--- a/crates/placement/tests/fleet/load.rs
+++ b/crates/placement/tests/fleet/load.rs
@@ -330,7 +330,7 @@
                 model: stream.model.clone(),
                 adapter: stream.adapter.clone(),
                 waiting: *waiting,
-                aim_ms: stream.aim_ms,
+                latency_target_ms: stream.aim_ms,
             });
         }
         inputs
@@ -360,7 +360,7 @@
                 model: stream.model.clone(),
                 adapter: stream.adapter.clone(),
                 requests_per_s,
-                urgency_ms: stream.aim_ms,
+                latency_target_ms: stream.aim_ms,
                 outstanding: (requests_per_s * stream.service_ms as f64 / 1_000.0) as u32,
                 waiting,
             });
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -306,14 +306,14 @@
                     ReceivedOrder { id: order, operation, model, adapter, if_revision, fence: planner };
                 self.send_order(worker, received);
             }
-            Output::AskReport { worker, .. } => {
+            Output::RequestReport { worker, .. } => {
                 self.reports_asked += 1;
                 self.schedule(2, Event::ReportAsked { planner, worker });
             }
             Output::Resident { worker, models } => {
                 self.routed.insert(worker, models);
             }
-            Output::Expect { model, adapter, ready_in_ms } => {
+            Output::ReadyEstimate { model, adapter, ready_in_ms } => {
                 self.load.expect(self.now, (model.clone(), adapter.clone()), ready_in_ms);
                 self.expected.insert((model, adapter), ready_in_ms);
             }
--- a/crates/placement/tests/many_wants.rs
+++ b/crates/placement/tests/many_wants.rs
@@ -5,7 +5,7 @@
 
 use googletest::prelude::*;
 use switchhill_placement::{
-    Engine, Input, ModelSpec, Operation, OrderAnswer, Output, PlacementAccount, Planner, PlannerSettings,
+    Engine, Input, ModelSpec, Operation, OrderAnswer, Output, PlacementCounters, Planner, PlannerSettings,
     Resident, WorkerId, WorkerState, WorkerView,
 };
 
@@ -78,7 +78,7 @@
                 model: format!("busy{n}"),
                 adapter: None,
                 requests_per_s: 50.0,
-                urgency_ms: 400,
+                latency_target_ms: 400,
                 outstanding: 1,
                 waiting: 0,
             };
@@ -88,7 +88,7 @@
 
     /// Asks for all models that stand nowhere each 250 ms, the large ones with more requests; returns which small ones
     /// were ordered, and what was counted from the second second on.
-    fn run(&self, seconds: u64) -> (usize, PlacementAccount) {
+    fn run(&self, seconds: u64) -> (usize, PlacementCounters) {
         let mut planner = self.planner();
         let mut ordered = std::collections::BTreeSet::new();
         for now in (TICK_MS..=seconds * 1_000).step_by(TICK_MS as usize) {
@@ -100,7 +100,7 @@
                 let large = (0..self.large).map(|n| (format!("large{n}"), 9));
                 let small = (0..self.small).map(|n| (format!("small{n}"), 1));
                 for (model, waiting) in large.chain(small) {
-                    let missing = Input::Missing { model, adapter: None, waiting, aim_ms: 1_000 };
+                    let missing = Input::Missing { model, adapter: None, waiting, latency_target_ms: 1_000 };
                     outputs.extend(planner.handle(now, missing));
                 }
             }
@@ -113,10 +113,10 @@
                 }
             }
             if now == 2_000 {
-                planner.take_account();
+                planner.take_counters();
             }
         }
-        (ordered.len(), planner.take_account())
+        (ordered.len(), planner.take_counters())
     }
 }
 
@@ -136,7 +136,7 @@
     for (workers, wants) in [(10, 300), (100, 300), (300, 600)] {
         let setting = Setting { workers, large: wants, small: 0, load_ms: 600, loads_per_s: 50.0 };
         let (_, account) = setting.run(4);
-        expect_that!(account.no_room, gt(0), "{workers} workers, {wants} wants");
+        expect_that!(account.no_memory, gt(0), "{workers} workers, {wants} wants");
         let considered = account.workers_considered;
         expect_that!(considered, le(2 * most), "{workers} workers, {wants} wants");
         println!("{workers} workers, {wants} wants: {considered} workers considered in 2 s");
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -55,7 +55,7 @@
 }
 
 fn missing(model: &str) -> Input {
-    Input::Missing { model: model.to_owned(), adapter: None, waiting: 1, aim_ms: 6_000 }
+    Input::Missing { model: model.to_owned(), adapter: None, waiting: 1, latency_target_ms: 6_000 }
 }
 
 fn orders(outputs: &[Output]) -> Vec<(OrderId, WorkerId, Option<u64>)> {
@@ -68,7 +68,7 @@
 
 fn asked(outputs: &[Output]) -> Vec<WorkerId> {
     let ask = |output: &Output| match output {
-        Output::AskReport { worker, .. } => Some(worker.clone()),
+        Output::RequestReport { worker, .. } => Some(worker.clone()),
         _ => None,
     };
     outputs.iter().filter_map(ask).collect()
--- a/crates/placement/tests/planner.rs
+++ b/crates/placement/tests/planner.rs
@@ -43,7 +43,7 @@
 
 fn missing(model: &str, adapter: Option<&str>) -> Input {
     let adapter = adapter.map(str::to_owned);
-    Input::Missing { model: model.to_owned(), adapter, waiting: 1, aim_ms: 6_000 }
+    Input::Missing { model: model.to_owned(), adapter, waiting: 1, latency_target_ms: 6_000 }
 }
 
 /// A planner whose workers hold the given models and have reported so, at 10 s.
@@ -81,7 +81,7 @@
 }
 
 fn asks(outputs: &[Output]) -> usize {
-    outputs.iter().filter(|output| matches!(output, Output::AskReport { .. })).count()
+    outputs.iter().filter(|output| matches!(output, Output::RequestReport { .. })).count()
 }
 
 fn answer(planner: &mut Planner, now: u64, order: &Sent, answer: OrderAnswer) -> Vec<Output> {
@@ -119,7 +119,7 @@
     planner.handle(1_100, report("w", false, 0, vec![]));
     planner.handle(1_100, missing("a", None));
     for now in (1_150..4_000).step_by(50) {
-        expect_that!(planner.handle(now, Input::Tick), each(matches_pattern!(Output::Expect { .. })));
+        expect_that!(planner.handle(now, Input::Tick), each(matches_pattern!(Output::ReadyEstimate { .. })));
     }
 }
 
@@ -130,7 +130,7 @@
     let orders = sent(&outputs);
     expect_that!(orders.len(), eq(1));
     let expected = outputs.iter().any(|output| {
-        matches!(output, Output::Expect { ready_in_ms: Some(wait), .. } if (4_000..5_000).contains(wait))
+        matches!(output, Output::ReadyEstimate { ready_in_ms: Some(wait), .. } if (4_000..5_000).contains(wait))
     });
     expect_that!(expected, eq(true));
     answer(&mut planner, 10_010, &orders[0], OrderAnswer::Accepted);
@@ -272,7 +272,7 @@
 
 fn expectations(outputs: &[Output]) -> Vec<Option<u64>> {
     let told = |output: &Output| match output {
-        Output::Expect { ready_in_ms, .. } => Some(*ready_in_ms),
+        Output::ReadyEstimate { ready_in_ms, .. } => Some(*ready_in_ms),
         _ => None,
     };
     outputs.iter().filter_map(told).collect()
@@ -315,7 +315,7 @@
 fn a_model_not_configured_is_not_expected() {
     let mut planner = planner(&[("w", vec![])]);
     let outputs = planner.handle(20_000, missing("z", None));
-    expect_that!(outputs, elements_are![matches_pattern!(Output::Expect { ready_in_ms: none(), .. })]);
+    expect_that!(outputs, elements_are![matches_pattern!(Output::ReadyEstimate { ready_in_ms: none(), .. })]);
 }
 
 #[gtest]
@@ -357,7 +357,7 @@
         let outputs = planner.handle(20_000, missing("a", Some(adapter)));
         expect_that!(
             outputs,
-            elements_are![matches_pattern!(Output::Expect { ready_in_ms: none(), .. })],
+            elements_are![matches_pattern!(Output::ReadyEstimate { ready_in_ms: none(), .. })],
             "{adapter}"
         );
     }
@@ -391,7 +391,7 @@
                     model: "b".to_owned(),
                     adapter: None,
                     requests_per_s: 1.0,
-                    urgency_ms: 6_000,
+                    latency_target_ms: 6_000,
                     outstanding: 4,
                     waiting: 0,
                 },
@@ -410,7 +410,10 @@
 fn reports_of_what_stands_are_answered_once_a_second_to_the_fleet() {
     let mut planner = planner(&[("w", vec![resident("a", &[])])]);
     let expected = |outputs: &[Output]| {
-        outputs.iter().filter(|output| matches!(output, Output::Expect { ready_in_ms: Some(0), .. })).count()
+        outputs
+            .iter()
+            .filter(|output| matches!(output, Output::ReadyEstimate { ready_in_ms: Some(0), .. }))
+            .count()
     };
     let first = planner.handle(20_000, missing("a", None));
     expect_that!((expected(&first), residents_told(&first).len()), eq((1, 0)));
--- a/crates/placement/tests/scale.rs
+++ b/crates/placement/tests/scale.rs
@@ -52,12 +52,14 @@
                 model: model.clone(),
                 adapter: adapter.clone(),
                 requests_per_s: 1.0,
-                urgency_ms: 500,
+                latency_target_ms: 500,
                 outstanding: 1,
                 waiting: 0,
             },
         ));
-        outputs.extend(planner.handle(now, Input::Missing { model, adapter, waiting: 1, aim_ms: 500 }));
+        outputs.extend(
+            planner.handle(now, Input::Missing { model, adapter, waiting: 1, latency_target_ms: 500 }),
+        );
     }
     outputs
 }
--- a/crates/placement/tests/take_over.rs
+++ b/crates/placement/tests/take_over.rs
@@ -80,7 +80,7 @@
 }
 
 fn missing(model: &str) -> Input {
-    Input::Missing { model: model.to_owned(), adapter: None, waiting: 1, aim_ms: 1_000 }
+    Input::Missing { model: model.to_owned(), adapter: None, waiting: 1, latency_target_ms: 1_000 }
 }
 
 fn planner_that_has_told() -> Planner {
--- a/crates/placement/tests/turns.rs
+++ b/crates/placement/tests/turns.rs
@@ -81,7 +81,7 @@
                 }
                 Some(Input::OrderResult { order, answer: OrderAnswer::Accepted })
             }
-            Output::AskReport { worker, .. } => Some(self.report(worker)),
+            Output::RequestReport { worker, .. } => Some(self.report(worker)),
             _ => None,
         }
     }
@@ -114,7 +114,7 @@
                 model: model.to_owned(),
                 adapter: None,
                 requests_per_s,
-                urgency_ms: 400,
+                latency_target_ms: 400,
                 outstanding,
                 waiting: 0,
             });
@@ -123,7 +123,7 @@
 
     fn missing(&mut self, model: &str, adapter: Option<&str>) {
         let adapter = adapter.map(str::to_owned);
-        self.tell(Input::Missing { model: model.to_owned(), adapter, waiting: 1, aim_ms: 6_000 });
+        self.tell(Input::Missing { model: model.to_owned(), adapter, waiting: 1, latency_target_ms: 6_000 });
     }
 
     fn loads_of(&self, model: &str) -> usize {
--- a/lab/src/hollow/parts.rs
+++ b/lab/src/hollow/parts.rs
@@ -210,7 +210,7 @@
                 model: site::model_name(rank),
                 adapter: Some("a1".to_owned()),
                 requests_per_s: 1.0,
-                urgency_ms: 540,
+                latency_target_ms: 540,
                 outstanding: 12,
                 waiting: 0,
             };
