--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -11,20 +11,20 @@
 //! - A worker gets one order at a time, conditional on the number of orders it has taken so far (`if_revision`), so
 //!   an order that arrives late or belongs to an earlier planner can't make the planner's view wrong unnoticed.
 
-mod account;
 mod catalogue;
+mod counters;
 mod demand;
 mod message;
 mod orders;
 mod planner;
 mod policy;
 mod reports;
+mod served_reports;
 mod settings;
-mod store_rate;
-mod unheard;
+mod store_rate_limiter;
 mod worker;
 
-pub use account::PlacementCounters;
+pub use counters::PlacementCounters;
 pub use message::{
     Input, Operation, OrderAnswer, OrderId, Output, Resident, WorkerId, WorkerState, WorkerView,
 };
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -5,14 +5,14 @@
 use fastrand::Rng;
 use slotmap::SlotMap;
 
-use crate::account::PlacementCounters;
 use crate::catalogue::{Catalogue, ModelIndex};
+use crate::counters::PlacementCounters;
 use crate::demand::{ModelDemand, Sample};
 use crate::message::{Input, Operation, OrderId, Output, Resident, WorkerId, WorkerState, WorkerView};
 use crate::policy::{MissingTable, Turns, Want};
+use crate::served_reports::UnheardTable;
 use crate::settings::{Engine, PlannerSettings};
-use crate::store_rate::StoreRate;
-use crate::unheard::UnheardTable;
+use crate::store_rate_limiter::StoreRate;
 use crate::worker::{Knowledge, Phase, Worker, WorkerKey};
 
 /// Time between two rounds of the policy on ticks, in milliseconds.
--- a/crates/placement/src/policy/anticipation.rs
+++ b/crates/placement/src/policy/anticipation.rs
@@ -9,7 +9,7 @@
 
 use crate::catalogue::ModelIndex;
 use crate::planner::Planner;
-use crate::policy::choice::Reason;
+use crate::policy::model_placement::Reason;
 
 /// How many places in the list demand may move on at once.
 const NEIGHBOURS: usize = 3;
--- a/crates/placement/src/policy/victims.rs
+++ b/crates/placement/src/policy/eviction.rs
@@ -3,7 +3,7 @@
 use crate::catalogue::ModelIndex;
 use crate::demand::ModelDemand;
 use crate::planner::Planner;
-use crate::policy::choice::Reason;
+use crate::policy::model_placement::Reason;
 use crate::worker::{Holding, Phase, WorkerKey};
 
 /// A model stays this long after its load unless it is never asked for, in milliseconds.
--- a/crates/placement/src/policy/missing.rs
+++ b/crates/placement/src/policy/missing.rs
@@ -5,9 +5,9 @@
 use crate::catalogue::ModelIndex;
 use crate::message::Output;
 use crate::planner::Planner;
-use crate::policy::choice::Reason;
+use crate::policy::model_placement::Reason;
 use crate::policy::turns::OVERDUE_MS;
-use crate::unheard::Answer;
+use crate::served_reports::Answer;
 use crate::worker::{OrderPhase, Step, WorkerKey};
 
 /// A want that nobody has repeated for this long is dropped unless its model is on its way, in milliseconds.
--- a/crates/placement/src/policy/mod.rs
+++ b/crates/placement/src/policy/mod.rs
@@ -1,13 +1,13 @@
 //! What is loaded where: what is missing, copies for demand, and what gives way.
 
-mod adapters;
+mod adapter_placement;
 mod anticipation;
-mod choice;
-mod growth;
+mod eviction;
 mod missing;
-mod relief;
+mod model_placement;
+mod rebalancing;
+mod replica_scaling;
 mod turns;
-mod victims;
 
 pub(crate) use missing::{MissingTable, Want};
 pub(crate) use turns::Turns;
--- a/crates/placement/src/policy/choice.rs
+++ b/crates/placement/src/policy/model_placement.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::account::PlacementFailure;
 use crate::catalogue::ModelIndex;
+use crate::counters::PlacementFailure;
 use crate::message::Operation;
 use crate::orders::UNLOAD_MS;
 use crate::planner::Planner;
-use crate::policy::victims::Victims;
+use crate::policy::eviction::Victims;
 use crate::worker::{Step, WorkerKey};
 
 /// Why a model is to be loaded.
--- a/crates/placement/src/policy/relief.rs
+++ b/crates/placement/src/policy/rebalancing.rs
@@ -2,7 +2,7 @@
 
 use crate::catalogue::ModelIndex;
 use crate::planner::Planner;
-use crate::policy::choice::Reason;
+use crate::policy::model_placement::Reason;
 use crate::worker::WorkerKey;
 
 /// Load from which a worker is relieved, as a share of its slots or memory.
