--- a/crates/placement/src/catalogue.rs
+++ b/crates/placement/src/catalogue.rs
@@ -65,7 +65,7 @@
 
     /// Index of a model found on a worker. One never configured counts as filling a whole worker, as its size isn't
     /// known.
-    pub(crate) fn seen(&mut self, name: &str) -> ModelIndex {
+    pub(crate) fn intern(&mut self, name: &str) -> ModelIndex {
         if let Some(index) = self.by_name.get(name) {
             return *index;
         }
--- a/crates/placement/src/counters.rs
+++ b/crates/placement/src/counters.rs
@@ -7,11 +7,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PlacementFailure {
     /// No free worker: each is loading a model, is unconfirmed or rejected the model recently.
-    NoFreeWorker,
+    WorkersBusy,
     /// No token of the weight store's rate limit.
-    NoStoreToken,
+    StoreRateExceeded,
     /// No memory: the models in the way must not be evicted, or only at a higher cost than the load is worth.
-    NoMemory,
+    OutOfMemory,
 }
 
 /// Counts since they were last taken.
@@ -48,9 +48,9 @@
 
     pub(crate) fn count_failure(&mut self, failure: PlacementFailure) {
         let count = match failure {
-            PlacementFailure::NoFreeWorker => &mut self.no_free_worker,
-            PlacementFailure::NoStoreToken => &mut self.no_store_token,
-            PlacementFailure::NoMemory => &mut self.no_memory,
+            PlacementFailure::WorkersBusy => &mut self.no_free_worker,
+            PlacementFailure::StoreRateExceeded => &mut self.no_store_token,
+            PlacementFailure::OutOfMemory => &mut self.no_memory,
         };
         *count += 1;
     }
--- a/crates/placement/src/message.rs
+++ b/crates/placement/src/message.rs
@@ -184,7 +184,7 @@
         /// All models and adapters it can serve.
         models: Vec<Resident>,
     },
-    /// Answer to [`Input::Missing`], repeated when it changes.
+    /// ReportAnswer to [`Input::Missing`], repeated when it changes.
     ReadyEstimate {
         /// Name of the model.
         model: String,
--- a/crates/placement/src/orders.rs
+++ b/crates/placement/src/orders.rs
@@ -2,7 +2,9 @@
 
 use crate::message::{Operation, OrderAnswer, OrderId, Output};
 use crate::planner::Planner;
-use crate::worker::{ActiveOrder, Doubt, Holding, Knowledge, OrderPhase, Phase, Step, WorkerKey};
+use crate::worker::{
+    ActiveOrder, ModelRecord, OrderPhase, Phase, RecordState, Step, UncertainLoad, WorkerKey,
+};
 
 /// An order without an answer for this long counts as unanswered, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 4_000;
@@ -13,18 +15,18 @@
 /// Time an unload takes on a worker without runs of it, in milliseconds.
 pub(crate) const UNLOAD_MS: u64 = 40;
 /// How long an unanswered load may still arrive, in milliseconds.
-const LATE_ORDER_MS: u64 = 4_000;
+const LATE_ARRIVAL_MS: u64 = 4_000;
 /// How long an order a worker rejected isn't repeated there, in milliseconds.
-const REJECTED_MS: u64 = 10_000;
+const REJECTION_BACKOFF_MS: u64 = 10_000;
 /// Pause before asking for a report when another order is found under way, in milliseconds.
-const BUSY_PAUSE_MS: u64 = 100;
+const BUSY_RETRY_MS: u64 = 100;
 /// Pause before asking a worker again that isn't the one expected at its address, in milliseconds.
-const WRONG_INSTANCE_PAUSE_MS: u64 = 2_000;
+const WRONG_INSTANCE_RETRY_MS: u64 = 2_000;
 
 impl Planner {
     /// Lets every worker with something to do go on.
     pub(crate) fn advance_all(&mut self, now: u64) {
-        let keys: Vec<WorkerKey> = self.attention.iter().copied().collect();
+        let keys: Vec<WorkerKey> = self.active_workers.iter().copied().collect();
         for key in keys {
             self.advance(now, key);
         }
@@ -35,51 +37,51 @@
         let Some(worker) = self.workers.get_mut(key) else { return };
         if let Some(order) = &worker.order {
             if now >= order.due {
-                self.order_due(now, key);
+                self.handle_order_due(now, key);
             }
             return;
         }
         if !worker.is_ready() {
             worker.plan.clear();
-            self.attention.remove(&key);
+            self.active_workers.remove(&key);
             return;
         }
-        match worker.knowledge {
-            Knowledge::Unknown { ask_at } if now >= ask_at => self.ask_report(now, key),
-            Knowledge::Unknown { .. } => {}
-            Knowledge::Exact { sequence } => self.send_next(now, key, sequence),
+        match worker.record_state {
+            RecordState::Unconfirmed { request_at } if now >= request_at => self.request_report(now, key),
+            RecordState::Unconfirmed { .. } => {}
+            RecordState::Confirmed { sequence } => self.send_next(now, key, sequence),
         }
     }
 
     /// Takes the answer to an order.
-    pub(crate) fn order_answered(&mut self, now: u64, id: OrderId, answer: OrderAnswer) {
+    pub(crate) fn handle_order_answer(&mut self, now: u64, id: OrderId, answer: OrderAnswer) {
         let Some(key) = self.orders.remove(&id) else { return };
         let Some(worker) = self.workers.get_mut(key) else { return };
         let awaited = worker.order.take_if(|order| order.id == id && order.phase == OrderPhase::Sent);
         let Some(order) = awaited else { return };
         match answer {
-            OrderAnswer::Accepted => self.accepted(now, key, order),
-            OrderAnswer::NoAnswer => self.unanswered(now, key, &order),
-            OrderAnswer::StaleFence => self.give_up(),
-            OrderAnswer::AlreadyHolds => self.not_taken(now, key, &order, BUSY_PAUSE_MS),
+            OrderAnswer::Accepted => self.handle_accepted(now, key, order),
+            OrderAnswer::NoAnswer => self.handle_unanswered(now, key, &order),
+            OrderAnswer::StaleFence => self.mark_superseded(),
+            OrderAnswer::AlreadyHolds => self.handle_not_accepted(now, key, &order, BUSY_RETRY_MS),
             OrderAnswer::Busy => {
-                self.undo(key, &order.step);
-                self.not_taken(now, key, &order, BUSY_PAUSE_MS);
+                self.revert_step(key, &order.step);
+                self.handle_not_accepted(now, key, &order, BUSY_RETRY_MS);
                 self.workers[key].plan.push_front(order.step);
-                self.refresh(key);
+                self.update_and_announce(key);
             }
             OrderAnswer::Rejected => {
-                self.undo(key, &order.step);
-                self.not_taken(now, key, &order, BUSY_PAUSE_MS);
+                self.revert_step(key, &order.step);
+                self.handle_not_accepted(now, key, &order, BUSY_RETRY_MS);
                 self.workers[key].plan.clear();
-                self.workers[key].rejected.insert(order.step.model, now + REJECTED_MS);
-                self.refresh(key);
+                self.workers[key].rejected.insert(order.step.model, now + REJECTION_BACKOFF_MS);
+                self.update_and_announce(key);
             }
             OrderAnswer::WrongInstance => {
-                self.undo(key, &order.step);
-                self.not_taken(now, key, &order, WRONG_INSTANCE_PAUSE_MS);
+                self.revert_step(key, &order.step);
+                self.handle_not_accepted(now, key, &order, WRONG_INSTANCE_RETRY_MS);
                 self.workers[key].plan.clear();
-                self.refresh(key);
+                self.update_and_announce(key);
             }
         }
     }
@@ -90,7 +92,7 @@
             return ADAPTER_LOAD_MS;
         }
         let full = self.catalogue.spec(step.model).load_ms;
-        if self.workers[key].held.contains(&step.model) {
+        if self.workers[key].on_disk.contains(&step.model) {
             full.min(WARM_LOAD_MS)
         } else {
             full
@@ -98,31 +100,31 @@
     }
 
     /// Whether carrying out a step draws on the weight store, as far as the planner can tell.
-    pub(crate) fn draws_on_store(&self, key: WorkerKey, step: &Step) -> bool {
+    pub(crate) fn uses_store(&self, key: WorkerKey, step: &Step) -> bool {
         let loads_model = step.operation == Operation::Load && step.adapter.is_none();
-        loads_model && !self.workers[key].held.contains(&step.model)
+        loads_model && !self.workers[key].on_disk.contains(&step.model)
     }
 
     fn send_next(&mut self, now: u64, key: WorkerKey, sequence: u64) {
-        self.drop_moot_steps(key);
+        self.drop_redundant_steps(key);
         let Some(step) = self.workers[key].plan.front().cloned() else {
-            self.attention.remove(&key);
+            self.active_workers.remove(&key);
             return;
         };
         if !self.workers[key].has_room(now, &step, &self.engine, &self.catalogue) {
             self.workers[key].plan.clear();
-            self.refresh(key);
+            self.update_and_announce(key);
             return;
         }
-        let took_token = self.draws_on_store(key, &step);
-        if took_token && !self.store.take(now) {
+        let used_store_token = self.uses_store(key, &step);
+        if used_store_token && !self.store.try_take(now) {
             return;
         }
         self.workers[key].plan.pop_front();
-        self.send(now, key, step, sequence, took_token);
+        self.send(now, key, step, sequence, used_store_token);
     }
 
-    fn send(&mut self, now: u64, key: WorkerKey, step: Step, sequence: u64, took_token: bool) {
+    fn send(&mut self, now: u64, key: WorkerKey, step: Step, sequence: u64, used_store_token: bool) {
         let id = self.new_order_id(key);
         let due = now + ANSWER_TIMEOUT_MS;
         let worker = &mut self.workers[key];
@@ -135,22 +137,23 @@
             adapter: step.adapter.clone(),
             if_revision: Some(sequence),
         });
-        let done_at = now + self.step_ms(key, &step);
+        let done_at = now + self.step_duration_ms(key, &step);
         let worker = &mut self.workers[key];
-        mark_begun(&mut worker.holdings, &step);
+        apply_step(&mut worker.model_records, &step);
         worker.changed_at = now;
-        worker.order = Some(ActiveOrder { id, step, phase: OrderPhase::Sent, took_token, due, done_at });
-        self.attention.insert(key);
-        self.refresh(key);
+        worker.order =
+            Some(ActiveOrder { id, step, phase: OrderPhase::Sent, used_store_token, due, done_at });
+        self.active_workers.insert(key);
+        self.update_and_announce(key);
     }
 
     /// Time from the order of a step until the planner knows that it is done, in milliseconds.
-    pub(crate) fn known_after_ms(&self, key: WorkerKey, step: &Step) -> u64 {
-        self.step_ms(key, step) + self.lag_ms(step)
+    pub(crate) fn confirmed_after_ms(&self, key: WorkerKey, step: &Step) -> u64 {
+        self.step_duration_ms(key, step) + self.confirmation_lag_ms(step)
     }
 
     /// Time by which the planner learns late that a step is done, in milliseconds.
-    fn lag_ms(&self, step: &Step) -> u64 {
+    fn confirmation_lag_ms(&self, step: &Step) -> u64 {
         let known_by_time = step.adapter.is_some() && step.operation == Operation::Load;
         if known_by_time {
             0
@@ -159,143 +162,146 @@
         }
     }
 
-    fn step_ms(&self, key: WorkerKey, step: &Step) -> u64 {
+    fn step_duration_ms(&self, key: WorkerKey, step: &Step) -> u64 {
         match step.operation {
             Operation::Load => self.load_ms(key, step),
             Operation::Unload => UNLOAD_MS,
         }
     }
 
-    fn accepted(&mut self, now: u64, key: WorkerKey, mut order: ActiveOrder) {
-        let duration = self.step_ms(key, &order.step);
-        let lag = self.lag_ms(&order.step);
+    fn handle_accepted(&mut self, now: u64, key: WorkerKey, mut order: ActiveOrder) {
+        let duration = self.step_duration_ms(key, &order.step);
+        let lag = self.confirmation_lag_ms(&order.step);
         let worker = &mut self.workers[key];
-        if let Knowledge::Exact { sequence } = worker.knowledge {
-            worker.knowledge = Knowledge::Exact { sequence: sequence + 1 };
-            worker.least_sequence = sequence + 1;
+        if let RecordState::Confirmed { sequence } = worker.record_state {
+            worker.record_state = RecordState::Confirmed { sequence: sequence + 1 };
+            worker.min_sequence = sequence + 1;
         }
-        order.phase = OrderPhase::Taken;
+        order.phase = OrderPhase::Accepted;
         order.done_at = now + duration;
         order.due = order.done_at + lag;
         worker.changed_at = now;
         worker.order = Some(order);
     }
 
-    fn order_due(&mut self, now: u64, key: WorkerKey) {
+    fn handle_order_due(&mut self, now: u64, key: WorkerKey) {
         let worker = &mut self.workers[key];
         let Some(order) = worker.order.clone() else { return };
         if order.phase == OrderPhase::Sent {
             self.orders.remove(&order.id);
             worker.order = None;
-            self.unanswered(now, key, &order);
+            self.handle_unanswered(now, key, &order);
             return;
         }
         if order.step.adapter.is_some() && order.step.operation == Operation::Load {
-            self.adapter_loaded(now, key, &order.step);
+            self.handle_adapter_loaded(now, key, &order.step);
             return;
         }
-        self.ask_report(now, key);
+        self.request_report(now, key);
     }
 
-    fn adapter_loaded(&mut self, now: u64, key: WorkerKey, step: &Step) {
+    fn handle_adapter_loaded(&mut self, now: u64, key: WorkerKey, step: &Step) {
         let worker = &mut self.workers[key];
         worker.order = None;
         worker.changed_at = now;
         let adapter = step.adapter.clone().unwrap_or_default();
-        if let Some(holding) = worker.holding_mut(step.model) {
-            holding.adapters.insert(adapter, Phase::Resident);
+        if let Some(record) = worker.model_record_mut(step.model) {
+            record.adapters.insert(adapter, Phase::Resident);
         }
-        self.refresh(key);
+        self.update_and_announce(key);
         self.advance(now, key);
     }
 
     /// The order may have been taken and may even arrive later: everything it could bring counts as there.
-    fn unanswered(&mut self, now: u64, key: WorkerKey, order: &ActiveOrder) {
+    fn handle_unanswered(&mut self, now: u64, key: WorkerKey, order: &ActiveOrder) {
         let lag = self.settings.report_lag_ms;
         let worker = &mut self.workers[key];
         if order.step.operation == Operation::Load {
-            let until = now + LATE_ORDER_MS;
-            worker.doubts.retain(|doubt| now < doubt.until);
+            let until = now + LATE_ARRIVAL_MS;
+            worker.uncertain_loads.retain(|uncertain| now < uncertain.until);
             let Step { model, adapter, .. } = order.step.clone();
-            worker.doubts.push(Doubt { model, adapter, until });
+            worker.uncertain_loads.push(UncertainLoad { model, adapter, until });
         }
         worker.plan.clear();
-        worker.knowledge = Knowledge::Unknown { ask_at: now + lag + BUSY_PAUSE_MS };
-        self.attention.insert(key);
-        self.refresh(key);
+        worker.record_state = RecordState::Unconfirmed { request_at: now + lag + BUSY_RETRY_MS };
+        self.active_workers.insert(key);
+        self.update_and_announce(key);
     }
 
     /// The order provably wasn't taken; the worker's report tells why.
-    fn not_taken(&mut self, now: u64, key: WorkerKey, order: &ActiveOrder, pause_ms: u64) {
-        if order.took_token {
+    fn handle_not_accepted(&mut self, now: u64, key: WorkerKey, order: &ActiveOrder, retry_ms: u64) {
+        if order.used_store_token {
             self.store.refund(now);
         }
         let worker = &mut self.workers[key];
-        worker.knowledge = Knowledge::Unknown { ask_at: now + pause_ms };
-        self.attention.insert(key);
-        self.refresh(key);
+        worker.record_state = RecordState::Unconfirmed { request_at: now + retry_ms };
+        self.active_workers.insert(key);
+        self.update_and_announce(key);
     }
 
     /// Takes back the marks of an order that had no effect at all.
-    fn undo(&mut self, key: WorkerKey, step: &Step) {
-        mark_undone(&mut self.workers[key].holdings, step);
+    fn revert_step(&mut self, key: WorkerKey, step: &Step) {
+        revert_in_record(&mut self.workers[key].model_records, step);
     }
 
-    fn drop_moot_steps(&mut self, key: WorkerKey) {
+    fn drop_redundant_steps(&mut self, key: WorkerKey) {
         let mut changed = false;
         while let Some(step) = self.workers[key].plan.front() {
-            if !is_moot(&self.workers[key].holdings, step) {
+            if !is_redundant(&self.workers[key].model_records, step) {
                 break;
             }
             self.workers[key].plan.pop_front();
             changed = true;
         }
         if changed {
-            self.refresh(key);
+            self.update_and_announce(key);
         }
     }
 }
 
-fn is_moot(holdings: &[Holding], step: &Step) -> bool {
-    let holding = holdings.iter().find(|holding| holding.model == step.model);
-    match (step.operation, &step.adapter, holding) {
-        (Operation::Load, None, holding) => holding.is_some(),
-        (Operation::Unload, None, holding) => holding.is_none(),
+fn is_redundant(model_records: &[ModelRecord], step: &Step) -> bool {
+    let record = model_records.iter().find(|record| record.model == step.model);
+    match (step.operation, &step.adapter, record) {
+        (Operation::Load, None, record) => record.is_some(),
+        (Operation::Unload, None, record) => record.is_none(),
         (_, Some(_), None) => true,
-        (Operation::Load, Some(adapter), Some(holding)) => holding.adapters.contains_key(adapter),
-        (Operation::Unload, Some(adapter), Some(holding)) => !holding.adapters.contains_key(adapter),
+        (Operation::Load, Some(adapter), Some(record)) => record.adapters.contains_key(adapter),
+        (Operation::Unload, Some(adapter), Some(record)) => !record.adapters.contains_key(adapter),
     }
 }
 
-fn mark_begun(holdings: &mut Vec<Holding>, step: &Step) {
+fn apply_step(model_records: &mut Vec<ModelRecord>, step: &Step) {
     let phase = match step.operation {
         Operation::Load => Phase::Loading,
         Operation::Unload => Phase::Unloading,
     };
-    let holding = holdings.iter_mut().find(|holding| holding.model == step.model);
-    match (holding, &step.adapter) {
-        (Some(holding), Some(adapter)) => {
-            holding.adapters.insert(adapter.clone(), phase);
-        }
-        (Some(holding), None) => holding.phase = phase,
-        (None, _) => {
-            holdings.push(Holding { model: step.model, phase, since: None, adapters: Default::default() })
+    let record = model_records.iter_mut().find(|record| record.model == step.model);
+    match (record, &step.adapter) {
+        (Some(record), Some(adapter)) => {
+            record.adapters.insert(adapter.clone(), phase);
         }
+        (Some(record), None) => record.phase = phase,
+        (None, _) => model_records.push(ModelRecord {
+            model: step.model,
+            phase,
+            since: None,
+            adapters: Default::default(),
+        }),
     }
 }
 
-fn mark_undone(holdings: &mut Vec<Holding>, step: &Step) {
-    let Some(position) = holdings.iter().position(|holding| holding.model == step.model) else { return };
+fn revert_in_record(model_records: &mut Vec<ModelRecord>, step: &Step) {
+    let Some(position) = model_records.iter().position(|record| record.model == step.model) else { return };
     match (step.operation, &step.adapter) {
         (Operation::Load, None) => {
-            holdings.remove(position);
+            model_records.remove(position);
         }
-        (Operation::Unload, None) => holdings[position].phase = Phase::Resident,
+        (Operation::Unload, None) => model_records[position].phase = Phase::Resident,
         (Operation::Load, Some(adapter)) => {
-            holdings[position].adapters.remove(adapter);
+            model_records[position].adapters.remove(adapter);
         }
         (Operation::Unload, Some(adapter)) => {
-            holdings[position].adapters.insert(adapter.clone(), Phase::Resident);
+            model_records[position].adapters.insert(adapter.clone(), Phase::Resident);
         }
     }
 }
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -9,11 +9,11 @@
 use crate::counters::PlacementCounters;
 use crate::demand::{ModelDemand, Sample};
 use crate::message::{Input, Operation, OrderId, Output, Resident, WorkerId, WorkerState, WorkerView};
-use crate::policy::{MissingTable, Turns, Want};
-use crate::served_reports::UnheardTable;
+use crate::policy::{MissingTable, ServableId, Turns};
+use crate::served_reports::ServedReportTable;
 use crate::settings::{Engine, PlannerSettings};
-use crate::store_rate_limiter::StoreRate;
-use crate::worker::{Knowledge, Phase, Worker, WorkerKey};
+use crate::store_rate_limiter::StoreRateLimiter;
+use crate::worker::{Phase, RecordState, Worker, WorkerKey};
 
 /// Time between two rounds of the policy on ticks, in milliseconds.
 const POLICY_INTERVAL_MS: u64 = 100;
@@ -24,21 +24,21 @@
 
 /// Orders' identities set apart for each millisecond of creation, so that a planner made later on the same node never
 /// gives an identity again: an answer to an order of the earlier one would pass for the answer to its own.
-const ORDERS_A_MS: u64 = 1 << 16;
+const ORDER_IDS_PER_MS: u64 = 1 << 16;
 
 /// Workers that hold a model or will.
 #[derive(Debug, Default)]
-pub(crate) struct Copies {
+pub(crate) struct Replicas {
     /// Ready workers on which it stands and stays.
-    pub(crate) standing: BTreeSet<WorkerKey>,
+    pub(crate) serving: BTreeSet<WorkerKey>,
     /// Ready workers to which it has been ordered or is planned.
-    pub(crate) coming: BTreeSet<WorkerKey>,
+    pub(crate) pending: BTreeSet<WorkerKey>,
 }
 
-impl Copies {
+impl Replicas {
     /// Copies that stand or will.
     pub(crate) fn count(&self) -> usize {
-        self.standing.len() + self.coming.len()
+        self.serving.len() + self.pending.len()
     }
 }
 
@@ -50,29 +50,29 @@
     pub(crate) catalogue: Catalogue,
     pub(crate) workers: SlotMap<WorkerKey, Worker>,
     pub(crate) by_id: BTreeMap<WorkerId, WorkerKey>,
-    pub(crate) held_at_address: BTreeMap<String, BTreeSet<ModelIndex>>,
+    pub(crate) on_disk_by_address: BTreeMap<String, BTreeSet<ModelIndex>>,
     /// Per model, by its index.
-    pub(crate) copies: Vec<Copies>,
+    pub(crate) replicas: Vec<Replicas>,
     pub(crate) demand: BTreeMap<ModelIndex, ModelDemand>,
     pub(crate) missing: MissingTable,
-    pub(crate) store: StoreRate,
+    pub(crate) store: StoreRateLimiter,
     pub(crate) random: Rng,
     pub(crate) orders: BTreeMap<OrderId, WorkerKey>,
     /// Workers with something planned, under way or to be asked.
-    pub(crate) attention: BTreeSet<WorkerKey>,
+    pub(crate) active_workers: BTreeSet<WorkerKey>,
     pub(crate) outputs: Vec<Output>,
     /// When the planner may ask and order; it only watches before.
-    pub(crate) orders_from: u64,
+    pub(crate) orders_allowed_at: u64,
     /// When demand was first told.
     pub(crate) first_demand_at: Option<u64>,
     /// Copies that models should have because of what is busy now.
     pub(crate) anticipated: BTreeMap<ModelIndex, usize>,
     /// Tokens of the store that other loads leave to models whose copies are crowded.
-    pub(crate) tokens_kept_for_crowded: f64,
+    pub(crate) tokens_reserved_for_overloaded: f64,
     /// Whose turn the next load from the store is.
     pub(crate) turns: Turns,
     /// Reports of requests for what stands.
-    pub(crate) unheard: UnheardTable,
+    pub(crate) served_reports: ServedReportTable,
     /// What became of requests for what stands nowhere, for the log.
     pub(crate) counters: PlacementCounters,
     next_order: u64,
@@ -86,9 +86,12 @@
     /// is empty, since a predecessor may just have used the store's rate, and it orders nothing to a worker before
     /// that worker has reported. `seed` settles ties.
     pub fn new(now: u64, settings: PlannerSettings, engine: Engine, seed: u64) -> Self {
-        let orders_from = now + settings.watch_ms;
-        let store =
-            StoreRate::new(orders_from, engine.loads_per_s * settings.store_share, settings.store_burst);
+        let orders_allowed_at = now + settings.watch_ms;
+        let store = StoreRateLimiter::new(
+            orders_allowed_at,
+            engine.loads_per_s * settings.store_share,
+            settings.store_burst,
+        );
         let mut catalogue = Catalogue::default();
         catalogue.update(&engine);
         Self {
@@ -97,23 +100,23 @@
             catalogue,
             workers: SlotMap::with_key(),
             by_id: BTreeMap::new(),
-            held_at_address: BTreeMap::new(),
-            copies: Vec::new(),
+            on_disk_by_address: BTreeMap::new(),
+            replicas: Vec::new(),
             demand: BTreeMap::new(),
             missing: MissingTable::default(),
             store,
             random: Rng::with_seed(seed),
             orders: BTreeMap::new(),
-            attention: BTreeSet::new(),
+            active_workers: BTreeSet::new(),
             outputs: Vec::new(),
-            orders_from,
+            orders_allowed_at,
             first_demand_at: None,
             anticipated: BTreeMap::new(),
-            tokens_kept_for_crowded: 0.0,
+            tokens_reserved_for_overloaded: 0.0,
             turns: Turns::default(),
-            unheard: UnheardTable::default(),
+            served_reports: ServedReportTable::default(),
             counters: PlacementCounters::default(),
-            next_order: now.saturating_mul(ORDERS_A_MS) + 1,
+            next_order: now.saturating_mul(ORDER_IDS_PER_MS) + 1,
             next_policy_at: now,
             next_sample_at: now,
             superseded: false,
@@ -148,17 +151,17 @@
             Input::Workers(views) => self.update_workers(now, &views),
             Input::Demand { model, adapter, requests_per_s, latency_target_ms, outstanding, waiting } => {
                 let sample = Sample { requests_per_s, outstanding, waiting, latency_target_ms };
-                self.tell_demand(now, &model, adapter, sample);
+                self.record_demand(now, &model, adapter, sample);
             }
             Input::Missing { model, adapter, waiting, latency_target_ms } => {
-                self.note_missing(now, model, adapter, waiting, latency_target_ms);
+                self.handle_missing(now, model, adapter, waiting, latency_target_ms);
             }
             Input::Load { worker, running, queued, kv_used, kv_total } => {
-                self.note_load(&worker, running + queued, kv_used, kv_total);
+                self.record_load(&worker, running + queued, kv_used, kv_total);
             }
-            Input::OrderResult { order, answer } => self.order_answered(now, order, answer),
+            Input::OrderResult { order, answer } => self.handle_order_answer(now, order, answer),
             Input::Report { worker, busy, sequence, models } => {
-                self.take_report(now, &worker, busy, sequence, &models);
+                self.handle_report(now, &worker, busy, sequence, &models);
             }
             Input::Tick => self.tick(now),
         }
@@ -166,29 +169,29 @@
     }
 
     /// The copies of a model.
-    pub(crate) fn copies_of(&mut self, model: ModelIndex) -> &Copies {
-        self.grow_index();
-        &self.copies[model.get()]
+    pub(crate) fn replicas_of(&mut self, model: ModelIndex) -> &Replicas {
+        self.resize_replica_index();
+        &self.replicas[model.get()]
     }
 
     /// Whether a model with its adapter stands on a worker that takes requests.
-    pub(crate) fn stands(&mut self, want: &Want) -> bool {
-        let standing = self.copies_of(want.model).standing.clone();
-        let Some(adapter) = want.adapter.as_deref() else { return !standing.is_empty() };
-        standing.iter().any(|key| {
-            let held = self.workers[*key].holding(want.model);
-            held.is_some_and(|holding| holding.adapters.get(adapter) == Some(&Phase::Resident))
+    pub(crate) fn is_served(&mut self, servable: &ServableId) -> bool {
+        let serving = self.replicas_of(servable.model).serving.clone();
+        let Some(adapter) = servable.adapter.as_deref() else { return !serving.is_empty() };
+        serving.iter().any(|key| {
+            let held = self.workers[*key].model_record(servable.model);
+            held.is_some_and(|record| record.adapters.get(adapter) == Some(&Phase::Resident))
         })
     }
 
     /// Brings the index up to date with a worker's record, and tells routers what changed on it.
-    pub(crate) fn refresh(&mut self, key: WorkerKey) {
-        self.reindex(key);
+    pub(crate) fn update_and_announce(&mut self, key: WorkerKey) {
+        self.update_replica_index(key);
         let worker = &mut self.workers[key];
         if !worker.may_be_announced() {
             return;
         }
-        let servable = worker.servable(&self.catalogue);
+        let servable = worker.served_models(&self.catalogue);
         let is_told = |told: &Vec<Resident>| crate::worker::same_residents(&servable, told);
         if worker.announced.as_ref().is_some_and(is_told) {
             return;
@@ -198,8 +201,8 @@
     }
 
     /// Tells routers once more what the workers hold on which a model stands.
-    pub(crate) fn announce_again(&mut self, want: &Want) {
-        for key in self.copies_of(want.model).standing.clone() {
+    pub(crate) fn reannounce_workers(&mut self, servable: &ServableId) {
+        for key in self.replicas_of(servable.model).serving.clone() {
             let worker = &self.workers[key];
             if let Some(models) = worker.announced.clone() {
                 self.outputs.push(Output::Resident { worker: worker.id.clone(), models });
@@ -208,7 +211,7 @@
     }
 
     /// Notes that a worker refused the fencing token: gives up for good.
-    pub(crate) fn give_up(&mut self) {
+    pub(crate) fn mark_superseded(&mut self) {
         self.superseded = true;
         self.outputs.push(Output::Superseded);
     }
@@ -227,38 +230,38 @@
             return;
         }
         self.next_policy_at = now + POLICY_INTERVAL_MS;
-        self.drop_settled_wants(now);
-        self.serve_overdue(now);
+        self.drop_resolved(now);
+        self.place_overdue(now);
         if self.settings.crowded_first {
-            self.relieve_crowded(now);
+            self.add_replicas_of_overloaded(now);
         }
-        self.serve_missing(now);
-        self.prepare(now);
+        self.place_missing(now);
+        self.place_anticipated(now);
         if now >= self.next_sample_at {
             self.next_sample_at = now + SAMPLE_INTERVAL_MS;
             self.sample_demand(now);
             if self.settings.growth {
-                self.grow(now);
+                self.add_replicas(now);
             }
             if self.settings.relief {
-                self.relieve(now);
+                self.relieve_most_overloaded(now);
             }
         }
     }
 
-    fn tell_demand(&mut self, now: u64, model: &str, adapter: Option<String>, sample: Sample) {
+    fn record_demand(&mut self, now: u64, model: &str, adapter: Option<String>, sample: Sample) {
         self.first_demand_at.get_or_insert(now);
         let known = self.catalogue.configured(model);
         if let Some(model) = known.filter(|model| self.catalogue.has_adapter(*model, adapter.as_deref())) {
-            self.demand.entry(model).or_default().tell(now, adapter, sample);
+            self.demand.entry(model).or_default().record_sample(now, adapter, sample);
         }
     }
 
-    fn note_load(&mut self, id: &WorkerId, occupied: u32, kv_used: u64, kv_total: u64) {
+    fn record_load(&mut self, id: &WorkerId, occupied: u32, kv_used: u64, kv_total: u64) {
         let Some(key) = self.by_id.get(id) else { return };
         let worker = &mut self.workers[*key];
         worker.occupied = occupied;
-        worker.memory_share = kv_used as f64 / kv_total.max(1) as f64;
+        worker.kv_share = kv_used as f64 / kv_total.max(1) as f64;
     }
 
     fn update_workers(&mut self, now: u64, views: &[WorkerView]) {
@@ -280,32 +283,32 @@
         let Some(key) = self.by_id.remove(id) else { return };
         let Some(worker) = self.workers.remove(key) else { return };
         for model in &worker.indexed {
-            self.copies[model.get()].standing.remove(&key);
-            self.copies[model.get()].coming.remove(&key);
+            self.replicas[model.get()].serving.remove(&key);
+            self.replicas[model.get()].pending.remove(&key);
         }
         if let Some(order) = &worker.order {
             self.orders.remove(&order.id);
         }
-        self.attention.remove(&key);
-        let held = worker.held.union(&worker.held_before).copied();
-        self.held_at_address.entry(worker.address.clone()).or_default().extend(held);
+        self.active_workers.remove(&key);
+        let held = worker.on_disk.union(&worker.probably_on_disk).copied();
+        self.on_disk_by_address.entry(worker.address.clone()).or_default().extend(held);
     }
 
     fn add_worker(&mut self, now: u64, view: &WorkerView) {
-        let mut worker = Worker::new(now, view, now.max(self.orders_from));
-        worker.adopt(now, &view.models, &mut self.catalogue, true);
-        if let Some(held) = self.held_at_address.get(&view.address) {
-            worker.held_before.clone_from(held);
+        let mut worker = Worker::new(now, view, now.max(self.orders_allowed_at));
+        worker.replace_record(now, &view.models, &mut self.catalogue, true);
+        if let Some(held) = self.on_disk_by_address.get(&view.address) {
+            worker.probably_on_disk.clone_from(held);
         }
         let key = self.workers.insert(worker);
         self.by_id.insert(view.id.clone(), key);
-        self.attention.insert(key);
-        self.reindex(key);
+        self.active_workers.insert(key);
+        self.update_replica_index(key);
         self.advance(now, key);
     }
 
     fn update_worker(&mut self, now: u64, key: WorkerKey, view: &WorkerView) {
-        self.compare_heartbeat(now, key, view);
+        self.check_heartbeat(now, key, view);
         let worker = &mut self.workers[key];
         if worker.state == view.state && worker.address == view.address {
             return;
@@ -315,59 +318,59 @@
         if !worker.is_ready() {
             worker.plan.clear();
         }
-        self.attention.insert(key);
-        self.refresh(key);
+        self.active_workers.insert(key);
+        self.update_and_announce(key);
         self.advance(now, key);
     }
 
     /// Asks for a report where a newer heartbeat differs from the record long after the last order.
-    fn compare_heartbeat(&mut self, now: u64, key: WorkerKey, view: &WorkerView) {
+    fn check_heartbeat(&mut self, now: u64, key: WorkerKey, view: &WorkerView) {
         let worker = &mut self.workers[key];
-        if view.as_of_sequence <= worker.heard_sequence {
+        if view.as_of_sequence <= worker.heartbeat_sequence {
             return;
         }
-        worker.heard_sequence = view.as_of_sequence;
+        worker.heartbeat_sequence = view.as_of_sequence;
         let settled = now.saturating_sub(worker.changed_at) > HEARTBEAT_LAG_MS;
-        let unchecked = now.saturating_sub(worker.checked_at) > HEARTBEAT_LAG_MS;
-        if !worker.is_free() || !settled || !unchecked {
+        let unchecked = now.saturating_sub(worker.heartbeat_checked_at) > HEARTBEAT_LAG_MS;
+        if !worker.is_idle() || !settled || !unchecked {
             return;
         }
-        if !worker.agrees_with(&view.models, &self.catalogue) {
-            worker.checked_at = now;
-            worker.knowledge = Knowledge::Unknown { ask_at: now };
-            self.attention.insert(key);
+        if !worker.matches(&view.models, &self.catalogue) {
+            worker.heartbeat_checked_at = now;
+            worker.record_state = RecordState::Unconfirmed { request_at: now };
+            self.active_workers.insert(key);
             self.advance(now, key);
         }
     }
 
-    fn reindex(&mut self, key: WorkerKey) {
-        self.grow_index();
+    fn update_replica_index(&mut self, key: WorkerKey) {
+        self.resize_replica_index();
         let worker = &mut self.workers[key];
         for model in std::mem::take(&mut worker.indexed) {
-            self.copies[model.get()].standing.remove(&key);
-            self.copies[model.get()].coming.remove(&key);
+            self.replicas[model.get()].serving.remove(&key);
+            self.replicas[model.get()].pending.remove(&key);
         }
         if !worker.is_ready() {
             return;
         }
         let planned = worker.plan.iter().filter(|step| step.adapter.is_none()).map(|step| step.model);
         let models: BTreeSet<ModelIndex> =
-            worker.holdings.iter().map(|holding| holding.model).chain(planned).collect();
+            worker.model_records.iter().map(|record| record.model).chain(planned).collect();
         for model in models {
-            let ordered = worker.holding(model).is_some_and(|holding| holding.phase == Phase::Loading);
-            let comes = worker.answers() && (ordered || worker.is_planned(Operation::Load, model));
-            if worker.stands(model) {
-                self.copies[model.get()].standing.insert(key);
+            let ordered = worker.model_record(model).is_some_and(|record| record.phase == Phase::Loading);
+            let comes = worker.is_responsive() && (ordered || worker.is_planned(Operation::Load, model));
+            if worker.serves(model) {
+                self.replicas[model.get()].serving.insert(key);
             } else if comes {
-                self.copies[model.get()].coming.insert(key);
+                self.replicas[model.get()].pending.insert(key);
             }
             worker.indexed.push(model);
         }
     }
 
-    fn grow_index(&mut self) {
-        if self.copies.len() < self.catalogue.len() {
-            self.copies.resize_with(self.catalogue.len(), Copies::default);
+    fn resize_replica_index(&mut self) {
+        if self.replicas.len() < self.catalogue.len() {
+            self.replicas.resize_with(self.catalogue.len(), Replicas::default);
         }
     }
 }
--- a/crates/placement/src/policy/adapter_placement.rs
+++ b/crates/placement/src/policy/adapter_placement.rs
@@ -20,7 +20,7 @@
 /// Cost of each step queued before.
 const QUEUE_COST: f64 = 0.5;
 /// Range of the random part that settles ties.
-const TIE: f64 = 0.05;
+const TIE_BREAK: f64 = 0.05;
 
 /// An adapter that may be unloaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,27 +39,27 @@
         adapter: &str,
         waited_ms: u64,
     ) -> bool {
-        let standing: Vec<WorkerKey> = self.copies_of(model).standing.iter().copied().collect();
-        if standing.iter().any(|key| self.workers[*key].has_adapter(model, adapter)) {
+        let serving: Vec<WorkerKey> = self.replicas_of(model).serving.iter().copied().collect();
+        if serving.iter().any(|key| self.workers[*key].has_adapter(model, adapter)) {
             return true;
         }
         let idle_ms = if waited_ms >= LONG_WAIT_MS { ADAPTER_BRIEFLY_IDLE_MS } else { ADAPTER_IDLE_MS };
-        self.add_adapter_copy(now, model, adapter, &standing, idle_ms)
+        self.add_adapter_replica(now, model, adapter, &serving, idle_ms)
     }
 
     /// Plans one more copy of an adapter, where that disturbs no other.
-    pub(crate) fn spread_adapter(
+    pub(crate) fn replicate_adapter(
         &mut self,
         now: u64,
         model: ModelIndex,
         adapter: &str,
         holders: &[WorkerKey],
     ) {
-        self.add_adapter_copy(now, model, adapter, holders, ADAPTER_IDLE_MS);
+        self.add_adapter_replica(now, model, adapter, holders, ADAPTER_IDLE_MS);
     }
 
     /// Plans an adapter on the best of the given workers that doesn't hold it.
-    fn add_adapter_copy(
+    fn add_adapter_replica(
         &mut self,
         now: u64,
         model: ModelIndex,
@@ -78,7 +78,7 @@
                 continue;
             }
             let worker = &self.workers[*key];
-            let mut score = LOAD_COST * worker.load(&self.engine) + TIE * self.random.f64();
+            let mut score = LOAD_COST * worker.load(&self.engine) + TIE_BREAK * self.random.f64();
             score += QUEUE_COST * worker.plan.len() as f64;
             score += if needs_slot { UNLOAD_COST } else { 0.0 };
             if best.as_ref().is_none_or(|(least, _, _)| score < *least) {
@@ -94,7 +94,11 @@
         let worker = &self.workers[key];
         let rejected = worker.rejected.get(&model).is_some_and(|until| now < *until);
         let queue_left = worker.plan.len() < QUEUED_STEPS;
-        !rejected && worker.is_ready() && worker.is_exact() && worker.has_only_adapter_steps() && queue_left
+        !rejected
+            && worker.is_ready()
+            && worker.is_confirmed()
+            && worker.has_only_adapter_steps()
+            && queue_left
     }
 
     fn adapter_slots_left(&self, now: u64, key: WorkerKey) -> usize {
@@ -109,14 +113,14 @@
     fn adapter_victim(&self, now: u64, key: WorkerKey, idle_ms: u64) -> Option<AdapterVictim> {
         let worker = &self.workers[key];
         let mut oldest: Option<(u64, AdapterVictim)> = None;
-        for holding in &worker.holdings {
-            let resident = holding.adapters.iter().filter(|(_, phase)| **phase == Phase::Resident);
+        for record in &worker.model_records {
+            let resident = record.adapters.iter().filter(|(_, phase)| **phase == Phase::Resident);
             for (adapter, _) in resident {
-                let idle = self.adapter_idle_ms(now, holding.model, adapter);
+                let idle = self.adapter_idle_ms(now, record.model, adapter);
                 let planned = worker.plan.iter().any(|step| step.adapter.as_ref() == Some(adapter));
                 let older = oldest.as_ref().is_none_or(|(most, _)| idle > *most);
                 if idle >= idle_ms && !planned && older {
-                    oldest = Some((idle, AdapterVictim { model: holding.model, adapter: adapter.clone() }));
+                    oldest = Some((idle, AdapterVictim { model: record.model, adapter: adapter.clone() }));
                 }
             }
         }
@@ -143,8 +147,8 @@
         }
         let adapter = Some(adapter.to_owned());
         worker.plan.push_back(Step { operation: Operation::Load, model, adapter });
-        self.attention.insert(key);
-        self.refresh(key);
+        self.active_workers.insert(key);
+        self.update_and_announce(key);
         self.advance(now, key);
     }
 }
--- a/crates/placement/src/policy/anticipation.rs
+++ b/crates/placement/src/policy/anticipation.rs
@@ -9,27 +9,27 @@
 
 use crate::catalogue::ModelIndex;
 use crate::planner::Planner;
-use crate::policy::model_placement::Reason;
+use crate::policy::model_placement::PlacementReason;
 
 /// How many places in the list demand may move on at once.
 const NEIGHBOURS: usize = 3;
 /// Share of a busy model's demand for which its successors are prepared.
-const PREPARED_SHARE: f64 = 0.4;
+const ANTICIPATED_SHARE: f64 = 0.4;
 /// Copies prepared at the most.
-const MOST_COPIES: usize = 4;
+const MAX_REPLICAS: usize = 4;
 /// Requests running at each copy, as a share of its slots, that are assumed before any demand is known: operators begin
 /// with several copies of what they expect to be busy.
 const ASSUMED_OCCUPANCY: f64 = 0.15;
 /// Requests running for a model, as a share of a worker's slots, below which its successors aren't prepared.
-const LEAST_OCCUPANCY: f64 = 0.1;
+const MIN_OCCUPANCY: f64 = 0.1;
 /// Requests running for some model from which demand counts as known.
-const KNOWN_SLOTS: f64 = 2.0;
+const DEMAND_KNOWN_SLOTS: f64 = 2.0;
 /// Copies planned in one round.
-const PLANNED_A_ROUND: usize = 2;
+const PLANS_PER_ROUND: usize = 2;
 
 impl Planner {
     /// Copies that models should have because of their busy predecessors in the operator's list.
-    pub(crate) fn anticipate(&mut self, ready: usize) {
+    pub(crate) fn update_anticipated(&mut self, ready: usize) {
         let slots = f64::from(self.engine.slots.max(1));
         let busy = self.busy_by_rank();
         let models: Vec<(ModelIndex, usize)> = self.configured_models();
@@ -40,26 +40,27 @@
         for (model, rank) in models {
             let before = rank.saturating_sub(NEIGHBOURS)..rank;
             let most = before.filter_map(|rank| busy.get(&rank)).copied().fold(0.0, f64::max);
-            if most < LEAST_OCCUPANCY * slots {
+            if most < MIN_OCCUPANCY * slots {
                 continue;
             }
-            let copies = (most * PREPARED_SHARE / (slots * self.settings.wanted_occupancy)).ceil() as usize;
-            self.anticipated.insert(model, copies.min(MOST_COPIES).min(ready));
+            let replicas =
+                (most * ANTICIPATED_SHARE / (slots * self.settings.wanted_occupancy)).ceil() as usize;
+            self.anticipated.insert(model, replicas.min(MAX_REPLICAS).min(ready));
         }
     }
 
     /// Plans copies that are wanted only because of their predecessors.
-    pub(crate) fn prepare(&mut self, now: u64) {
+    pub(crate) fn place_anticipated(&mut self, now: u64) {
         let mut short: Vec<(usize, ModelIndex)> = Vec::new();
         for (model, wanted) in self.anticipated.clone() {
-            let copies = self.copies_of(model).count();
-            if copies < wanted {
-                short.push((copies, model));
+            let replicas = self.replicas_of(model).count();
+            if replicas < wanted {
+                short.push((replicas, model));
             }
         }
         short.sort_unstable();
-        for (_, model) in short.into_iter().take(PLANNED_A_ROUND) {
-            self.place_model(now, model, Reason::Anticipated);
+        for (_, model) in short.into_iter().take(PLANS_PER_ROUND) {
+            self.place_model(now, model, PlacementReason::Anticipated);
         }
     }
 
@@ -71,7 +72,7 @@
     /// Requests running for each urgent model, by its rank in the list.
     fn busy_by_rank(&mut self) -> BTreeMap<usize, f64> {
         let models = self.configured_models();
-        let known = self.demand.values().any(|demand| demand.slots >= KNOWN_SLOTS);
+        let known = self.demand.values().any(|demand| demand.slots >= DEMAND_KNOWN_SLOTS);
         let slots = f64::from(self.engine.slots.max(1));
         let mut busy = BTreeMap::new();
         for (model, rank) in models {
@@ -88,10 +89,10 @@
     }
 
     fn assumed_slots(&mut self, model: ModelIndex, slots: f64) -> f64 {
-        let copies = self.copies_of(model).standing.len();
-        if copies < 2 {
+        let replicas = self.replicas_of(model).serving.len();
+        if replicas < 2 {
             return 0.0;
         }
-        copies as f64 * slots * ASSUMED_OCCUPANCY
+        replicas as f64 * slots * ASSUMED_OCCUPANCY
     }
 }
--- a/crates/placement/src/policy/missing.rs
+++ b/crates/placement/src/policy/missing.rs
@@ -5,33 +5,33 @@
 use crate::catalogue::ModelIndex;
 use crate::message::Output;
 use crate::planner::Planner;
-use crate::policy::model_placement::Reason;
+use crate::policy::model_placement::PlacementReason;
 use crate::policy::turns::OVERDUE_MS;
-use crate::served_reports::Answer;
+use crate::served_reports::ReportAnswer;
 use crate::worker::{OrderPhase, Step, WorkerKey};
 
 /// A want that nobody has repeated for this long is dropped unless its model is on its way, in milliseconds.
-const FORGET_MS: u64 = 3_000;
+const EXPIRY_MS: u64 = 3_000;
 /// Wants tried in one round; bounds the work of a round.
-const TRIED_A_ROUND: usize = 32;
+const ATTEMPTS_PER_ROUND: usize = 32;
 /// Of these, wants that are tried because their turn has come, where there are more than can be tried. By rank alone,
 /// wants that can't be placed would keep all others from being tried at all.
-const TRIED_IN_TURN: usize = TRIED_A_ROUND / 2;
+const ROTATED_ATTEMPTS: usize = ATTEMPTS_PER_ROUND / 2;
 /// Change of an expected time that is worth telling unasked, in milliseconds.
-const NOTABLE_CHANGE_MS: u64 = 500;
+const ANNOUNCED_CHANGE_MS: u64 = 500;
 /// The same when requests for it have just been reported, in milliseconds.
-const NOTABLE_WHEN_ASKED_MS: u64 = 100;
+const ANNOUNCED_CHANGE_ON_REPORT_MS: u64 = 100;
 /// An expected time that is asked for again this long after it was told is told once more, changed or not, in
 /// milliseconds: gatekeepers start, and messages to them may be lost.
-const REPEAT_MS: u64 = 1_000;
+const REANNOUNCE_MS: u64 = 1_000;
 /// What a second of waiting adds to the number of requests that wait.
-const PRESSURE_A_SECOND: f64 = 0.5;
+const PRESSURE_PER_SECOND: f64 = 0.5;
 /// Urgency of a request with an aim of this length is that of the bare count, in milliseconds.
-const USUAL_AIM_MS: f64 = 1_000.0;
+const REFERENCE_LATENCY_TARGET_MS: f64 = 1_000.0;
 
 /// A model, or an adapter of it, that requests need.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Want {
+pub(crate) struct ServableId {
     pub(crate) model: ModelIndex,
     pub(crate) adapter: Option<String>,
 }
@@ -42,38 +42,38 @@
     latency_target_ms: u64,
     first_at: u64,
     last_at: u64,
-    told: Option<ToldExpectation>,
+    announced: Option<AnnouncedEstimate>,
 }
 
 /// What all gatekeepers were last told of a want.
 #[derive(Debug, Clone, Copy)]
-struct ToldExpectation {
+struct AnnouncedEstimate {
     /// When it should stand; none if nothing was planned.
     ready_at: Option<u64>,
-    told_at: u64,
+    announced_at: u64,
 }
 
 /// All wants, by model and adapter.
 #[derive(Debug, Default)]
 pub(crate) struct MissingTable {
-    entries: BTreeMap<Want, MissingEntry>,
+    entries: BTreeMap<ServableId, MissingEntry>,
     /// Models wanted that the last round found no worker or token for.
     unplanned: usize,
     /// The want that was last tried because its turn had come.
-    last_in_turn: Option<Want>,
+    last_in_rotation: Option<ServableId>,
 }
 
 impl MissingTable {
     /// Drops the wants of models the filter rejects.
     pub(crate) fn retain_models(&mut self, mut keep: impl FnMut(ModelIndex) -> bool) {
-        self.entries.retain(|want, _| keep(want.model));
+        self.entries.retain(|servable, _| keep(servable.model));
     }
 
     /// Requests that wait for a want, and more for each second since the first came, so that everything has its turn.
-    fn pressure(&self, now: u64, want: &Want) -> f64 {
+    fn pressure(&self, now: u64, servable: &ServableId) -> f64 {
         self.entries
-            .get(want)
-            .map_or(0.0, |entry| f64::from(entry.waiting) + entry.age_s(now) * PRESSURE_A_SECOND)
+            .get(servable)
+            .map_or(0.0, |entry| f64::from(entry.waiting) + entry.age_s(now) * PRESSURE_PER_SECOND)
     }
 
     /// Number of wants.
@@ -82,24 +82,28 @@
     }
 
     /// Time since requests first asked for a want, in milliseconds.
-    fn waited_ms(&self, now: u64, want: &Want) -> u64 {
-        self.entries.get(want).map_or(0, |entry| now.saturating_sub(entry.first_at))
+    fn waited_ms(&self, now: u64, servable: &ServableId) -> u64 {
+        self.entries.get(servable).map_or(0, |entry| now.saturating_sub(entry.first_at))
     }
 
     /// Requests that wait for any adapter of a model.
     fn adapter_pressure(&self, now: u64, model: ModelIndex) -> f64 {
-        let of_model = self.entries.range(Want { model, adapter: None }..);
-        let wants = of_model.take_while(|(want, _)| want.model == model).map(|(want, _)| want);
-        wants.filter(|want| want.adapter.is_some()).map(|want| self.pressure(now, want)).sum()
+        let of_model = self.entries.range(ServableId { model, adapter: None }..);
+        let servables =
+            of_model.take_while(|(servable, _)| servable.model == model).map(|(servable, _)| servable);
+        servables
+            .filter(|servable| servable.adapter.is_some())
+            .map(|servable| self.pressure(now, servable))
+            .sum()
     }
 
-    fn note(&mut self, now: u64, want: &Want, waiting: u32, latency_target_ms: u64) {
-        let entry = self.entries.entry(want.clone()).or_insert(MissingEntry {
+    fn note(&mut self, now: u64, servable: &ServableId, waiting: u32, latency_target_ms: u64) {
+        let entry = self.entries.entry(servable.clone()).or_insert(MissingEntry {
             waiting: 0,
             latency_target_ms: u64::MAX,
             first_at: now,
             last_at: now,
-            told: None,
+            announced: None,
         });
         entry.waiting = entry.waiting.max(waiting).max(1);
         entry.latency_target_ms = entry.latency_target_ms.min(latency_target_ms.max(1));
@@ -108,54 +112,54 @@
 
     /// Wants whose requests have waited so long that copies of other models give way, in the order in which they are
     /// tried.
-    fn overdue(&self, now: u64) -> Vec<Want> {
+    fn overdue(&self, now: u64) -> Vec<ServableId> {
         let mut ranked = self.ranked(now);
-        ranked.retain(|want| self.waited_ms(now, want) >= OVERDUE_MS);
+        ranked.retain(|servable| self.waited_ms(now, servable) >= OVERDUE_MS);
         ranked
     }
 
     /// Which of some wants, given by rank, are tried in this round, in this order: the first by rank, then those whose turn
     /// it is.
-    fn tried(&mut self, ranked: Vec<Want>) -> Vec<Want> {
-        if ranked.len() <= TRIED_A_ROUND {
+    fn tried(&mut self, ranked: Vec<ServableId>) -> Vec<ServableId> {
+        if ranked.len() <= ATTEMPTS_PER_ROUND {
             return ranked;
         }
         let mut tried = ranked;
-        let mut others = tried.split_off(TRIED_A_ROUND - TRIED_IN_TURN);
+        let mut others = tried.split_off(ATTEMPTS_PER_ROUND - ROTATED_ATTEMPTS);
         others.sort_unstable();
-        let first = others.partition_point(|want| Some(want) <= self.last_in_turn.as_ref());
+        let first = others.partition_point(|servable| Some(servable) <= self.last_in_rotation.as_ref());
         others.rotate_left(first);
-        others.truncate(TRIED_IN_TURN);
-        self.last_in_turn = others.last().cloned();
+        others.truncate(ROTATED_ATTEMPTS);
+        self.last_in_rotation = others.last().cloned();
         tried.extend(others);
         tried
     }
 
     /// Wants in the order in which they are tried: adapters, which are cheap, then by number waiting, aim and age.
-    fn ranked(&self, now: u64) -> Vec<Want> {
-        let mut ranked: Vec<(bool, f64, &Want)> = self
+    fn ranked(&self, now: u64) -> Vec<ServableId> {
+        let mut ranked: Vec<(bool, f64, &ServableId)> = self
             .entries
             .iter()
-            .map(|(want, entry)| (want.adapter.is_none(), entry.rank(now), want))
+            .map(|(servable, entry)| (servable.adapter.is_none(), entry.rank(now), servable))
             .collect();
         ranked.sort_by(|left, right| left.0.cmp(&right.0).then(right.1.total_cmp(&left.1)));
-        ranked.into_iter().map(|(_, _, want)| want.clone()).collect()
+        ranked.into_iter().map(|(_, _, servable)| servable.clone()).collect()
     }
 }
 
-impl ToldExpectation {
-    /// Whether a time to stand differs by more than `notable_ms` from the one told.
-    fn differs(&self, ready_at: Option<u64>, notable_ms: u64) -> bool {
+impl AnnouncedEstimate {
+    /// Whether a time to stand differs by more than `threshold_ms` from the one told.
+    fn differs(&self, ready_at: Option<u64>, threshold_ms: u64) -> bool {
         match (self.ready_at, ready_at) {
-            (Some(told), Some(ready_at)) => told.abs_diff(ready_at) > notable_ms,
-            (told, ready_at) => told != ready_at,
+            (Some(announced), Some(ready_at)) => announced.abs_diff(ready_at) > threshold_ms,
+            (announced, ready_at) => announced != ready_at,
         }
     }
 }
 
 impl MissingEntry {
     fn rank(&self, now: u64) -> f64 {
-        let urgency = 1.0 + USUAL_AIM_MS / self.latency_target_ms as f64;
+        let urgency = 1.0 + REFERENCE_LATENCY_TARGET_MS / self.latency_target_ms as f64;
         f64::from(self.waiting) * urgency + self.age_s(now)
     }
 
@@ -166,7 +170,7 @@
 
 impl Planner {
     /// Takes note of requests that wait, and plans for them at once if it can.
-    pub(crate) fn note_missing(
+    pub(crate) fn handle_missing(
         &mut self,
         now: u64,
         model: String,
@@ -180,176 +184,179 @@
             self.outputs.push(Output::ReadyEstimate { model, adapter, ready_in_ms: None });
             return;
         };
-        self.demand.entry(index).or_default().ask(now, adapter.clone());
-        let want = Want { model: index, adapter };
-        if self.stands(&want) {
+        self.demand.entry(index).or_default().record_request(now, adapter.clone());
+        let servable = ServableId { model: index, adapter };
+        if self.is_served(&servable) {
             self.counters.reports_while_served += 1;
-            self.answer_standing(now, &want);
+            self.answer_served(now, &servable);
             return;
         }
-        self.missing.note(now, &want, waiting, latency_target_ms);
-        if !self.must_queue(&want) {
-            self.try_serve(now, &want);
+        self.missing.note(now, &servable, waiting, latency_target_ms);
+        if !self.must_wait_for_round(&servable) {
+            self.try_place(now, &servable);
         }
-        match self.is_planned(&want) {
+        match self.is_planned(&servable) {
             true => self.counters.reports_while_loading += 1,
             false => self.counters.reports_while_unplanned += 1,
         }
-        self.tell_asked(now, &want);
+        self.announce_on_report(now, &servable);
     }
 
     /// Answers a report of something that stands.
-    fn answer_standing(&mut self, now: u64, want: &Want) {
-        let answer = self.unheard.note(now, want);
-        if answer != Answer::Nothing {
-            self.tell_expected(want, Some(0));
+    fn answer_served(&mut self, now: u64, servable: &ServableId) {
+        let answer = self.served_reports.note(now, servable);
+        if answer != ReportAnswer::AlreadyAnnounced {
+            self.announce_estimate(servable, Some(0));
         }
-        if answer == Answer::WhereItStands {
-            self.announce_again(want);
+        if answer == ReportAnswer::ServedAndHolders {
+            self.reannounce_workers(servable);
         }
     }
 
     /// Drops what stands or nobody asks for any more.
-    pub(crate) fn drop_settled_wants(&mut self, now: u64) {
-        self.unheard.forget(now);
-        let wants: Vec<Want> = self.missing.entries.keys().cloned().collect();
-        for want in wants {
-            let silent = now.saturating_sub(self.missing.entries[&want].last_at) > FORGET_MS;
-            let forgotten = silent && self.copies_of(want.model).coming.is_empty();
-            let stands = self.stands(&want);
-            if forgotten || stands {
-                self.counters.expired += u32::from(!stands);
-                self.missing.entries.remove(&want);
+    pub(crate) fn drop_resolved(&mut self, now: u64) {
+        self.served_reports.forget(now);
+        let servables: Vec<ServableId> = self.missing.entries.keys().cloned().collect();
+        for servable in servables {
+            let silent = now.saturating_sub(self.missing.entries[&servable].last_at) > EXPIRY_MS;
+            let forgotten = silent && self.replicas_of(servable.model).pending.is_empty();
+            let serves = self.is_served(&servable);
+            if forgotten || serves {
+                self.counters.expired += u32::from(!serves);
+                self.missing.entries.remove(&servable);
             }
         }
     }
 
     /// Plans one overdue model that stands nowhere, if copies of other models have had their loads.
-    pub(crate) fn serve_overdue(&mut self, now: u64) {
-        if !self.turns.is_for_missing() {
+    pub(crate) fn place_overdue(&mut self, now: u64) {
+        if !self.turns.is_missing_models_turn() {
             return;
         }
         let mut overdue = self.missing.overdue(now);
-        overdue.retain(|want| self.copies_of(want.model).count() == 0);
-        for want in self.missing.tried(overdue) {
-            self.try_serve(now, &want);
-            if self.copies_of(want.model).count() > 0 {
+        overdue.retain(|servable| self.replicas_of(servable.model).count() == 0);
+        for servable in self.missing.tried(overdue) {
+            self.try_place(now, &servable);
+            if self.replicas_of(servable.model).count() > 0 {
                 return;
             }
         }
     }
 
     /// Tries to plan what is missing, by rank.
-    pub(crate) fn serve_missing(&mut self, now: u64) {
+    pub(crate) fn place_missing(&mut self, now: u64) {
         let ranked = self.missing.ranked(now);
-        let unplanned = ranked.iter().filter(|want| !self.is_planned(want)).cloned().collect();
+        let unplanned = ranked.iter().filter(|servable| !self.is_planned(servable)).cloned().collect();
         self.missing.unplanned = 0;
-        for want in self.missing.tried(unplanned) {
-            if self.is_planned(&want) {
+        for servable in self.missing.tried(unplanned) {
+            if self.is_planned(&servable) {
                 continue;
             }
-            self.try_serve(now, &want);
-            self.missing.unplanned += usize::from(self.copies_of(want.model).count() == 0);
+            self.try_place(now, &servable);
+            self.missing.unplanned += usize::from(self.replicas_of(servable.model).count() == 0);
         }
-        for want in &ranked {
-            self.tell_changed(now, want, NOTABLE_CHANGE_MS);
+        for servable in &ranked {
+            self.announce_if_changed(now, servable, ANNOUNCED_CHANGE_MS);
         }
     }
 
     /// Whether a want has to be ranked with others that stand nowhere, instead of taking a worker that they wait for.
-    fn must_queue(&mut self, want: &Want) -> bool {
-        self.missing.unplanned > 0 && self.copies_of(want.model).count() == 0
+    fn must_wait_for_round(&mut self, servable: &ServableId) -> bool {
+        self.missing.unplanned > 0 && self.replicas_of(servable.model).count() == 0
     }
 
     /// Whether nothing more can be planned for a want: it comes, or its model has to come first.
-    fn is_planned(&mut self, want: &Want) -> bool {
-        let copies = self.copies_of(want.model);
-        if copies.standing.is_empty() {
-            return !copies.coming.is_empty();
+    fn is_planned(&mut self, servable: &ServableId) -> bool {
+        let replicas = self.replicas_of(servable.model);
+        if replicas.serving.is_empty() {
+            return !replicas.pending.is_empty();
         }
-        let standing = copies.standing.clone();
-        let Some(adapter) = want.adapter.as_deref() else { return true };
-        standing.iter().any(|key| self.workers[*key].has_adapter(want.model, adapter))
+        let serving = replicas.serving.clone();
+        let Some(adapter) = servable.adapter.as_deref() else { return true };
+        serving.iter().any(|key| self.workers[*key].has_adapter(servable.model, adapter))
     }
 
-    fn try_serve(&mut self, now: u64, want: &Want) {
-        let pressure = self.missing.pressure(now, want);
-        let copies = self.copies_of(want.model);
-        if copies.count() == 0 {
-            self.place_model(now, want.model, Reason::Missing { pressure });
+    fn try_place(&mut self, now: u64, servable: &ServableId) {
+        let pressure = self.missing.pressure(now, servable);
+        let replicas = self.replicas_of(servable.model);
+        if replicas.count() == 0 {
+            self.place_model(now, servable.model, PlacementReason::Missing { pressure });
             return;
         }
-        let (stands, comes) = (!copies.standing.is_empty(), !copies.coming.is_empty());
-        let Some(adapter) = want.adapter.as_deref().filter(|_| stands) else { return };
-        let waited_ms = self.missing.waited_ms(now, want);
-        let placed = self.place_adapter(now, want.model, adapter, waited_ms);
-        if !placed && !comes && self.lacks_adapter_slots(now, want.model) {
-            let pressure = self.missing.adapter_pressure(now, want.model);
-            self.place_model(now, want.model, Reason::Missing { pressure });
+        let (serves, comes) = (!replicas.serving.is_empty(), !replicas.pending.is_empty());
+        let Some(adapter) = servable.adapter.as_deref().filter(|_| serves) else { return };
+        let waited_ms = self.missing.waited_ms(now, servable);
+        let placed = self.place_adapter(now, servable.model, adapter, waited_ms);
+        if !placed && !comes && self.lacks_adapter_slots(now, servable.model) {
+            let pressure = self.missing.adapter_pressure(now, servable.model);
+            self.place_model(now, servable.model, PlacementReason::Missing { pressure });
         }
     }
 
     /// Answers a report of requests. The answer goes to all gatekeepers, and many of them report the same want within
     /// a short time: what they were told a moment ago is not said again.
-    fn tell_asked(&mut self, now: u64, want: &Want) {
-        let Some(entry) = self.missing.entries.get_mut(want) else { return };
-        if entry.told.is_some_and(|told| now.saturating_sub(told.told_at) >= REPEAT_MS) {
-            entry.told = None;
+    fn announce_on_report(&mut self, now: u64, servable: &ServableId) {
+        let Some(entry) = self.missing.entries.get_mut(servable) else { return };
+        if entry
+            .announced
+            .is_some_and(|announced| now.saturating_sub(announced.announced_at) >= REANNOUNCE_MS)
+        {
+            entry.announced = None;
         }
-        self.tell_changed(now, want, NOTABLE_WHEN_ASKED_MS);
+        self.announce_if_changed(now, servable, ANNOUNCED_CHANGE_ON_REPORT_MS);
     }
 
-    /// Tells when a want should stand, if that differs by more than `notable_ms` from what was told.
-    fn tell_changed(&mut self, now: u64, want: &Want, notable_ms: u64) {
-        let expected = self.expected(now, want);
-        let Some(entry) = self.missing.entries.get_mut(want) else { return };
+    /// Tells when a want should stand, if that differs by more than `threshold_ms` from what was told.
+    fn announce_if_changed(&mut self, now: u64, servable: &ServableId, threshold_ms: u64) {
+        let expected = self.estimate_ready_in(now, servable);
+        let Some(entry) = self.missing.entries.get_mut(servable) else { return };
         let ready_at = expected.map(|wait| now + wait);
-        if entry.told.is_some_and(|told| !told.differs(ready_at, notable_ms)) {
+        if entry.announced.is_some_and(|announced| !announced.differs(ready_at, threshold_ms)) {
             return;
         }
-        entry.told = Some(ToldExpectation { ready_at, told_at: now });
-        self.tell_expected(want, expected);
+        entry.announced = Some(AnnouncedEstimate { ready_at, announced_at: now });
+        self.announce_estimate(servable, expected);
     }
 
-    fn tell_expected(&mut self, want: &Want, ready_in_ms: Option<u64>) {
-        let model = self.catalogue.spec(want.model).name.clone();
-        self.outputs.push(Output::ReadyEstimate { model, adapter: want.adapter.clone(), ready_in_ms });
+    fn announce_estimate(&mut self, servable: &ServableId, ready_in_ms: Option<u64>) {
+        let model = self.catalogue.spec(servable.model).name.clone();
+        self.outputs.push(Output::ReadyEstimate { model, adapter: servable.adapter.clone(), ready_in_ms });
     }
 
     /// Time until a want should stand, in milliseconds, or none if nothing is planned for want of room.
-    fn expected(&mut self, now: u64, want: &Want) -> Option<u64> {
-        let copies = self.copies_of(want.model);
-        let (standing, coming) = (copies.standing.clone(), copies.coming.clone());
-        if standing.is_empty() && coming.is_empty() {
-            return self.expected_from_store(now, want.model);
+    fn estimate_ready_in(&mut self, now: u64, servable: &ServableId) -> Option<u64> {
+        let replicas = self.replicas_of(servable.model);
+        let (serving, pending) = (replicas.serving.clone(), replicas.pending.clone());
+        if serving.is_empty() && pending.is_empty() {
+            return self.estimate_from_store(now, servable.model);
         }
-        let on_worker = |key: &WorkerKey| self.expected_on(now, *key, want);
-        standing.iter().chain(coming.iter()).filter_map(on_worker).min()
+        let on_worker = |key: &WorkerKey| self.estimate_on_worker(now, *key, servable);
+        serving.iter().chain(pending.iter()).filter_map(on_worker).min()
     }
 
     /// Nothing is planned: if only the store's rate is in the way, it is a matter of time.
-    fn expected_from_store(&self, now: u64, model: ModelIndex) -> Option<u64> {
+    fn estimate_from_store(&self, now: u64, model: ModelIndex) -> Option<u64> {
         if self.store_allows(now) {
             return None;
         }
-        let wait = self.store.wait_ms(now, self.unsent_store_loads(now) + self.missing.len());
+        let wait = self.store.wait_ms(now, self.pending_store_loads(now) + self.missing.len());
         Some(wait + self.catalogue.spec(model).load_ms + self.settings.report_lag_ms)
     }
 
-    fn expected_on(&self, now: u64, key: WorkerKey, want: &Want) -> Option<u64> {
+    fn estimate_on_worker(&self, now: u64, key: WorkerKey, servable: &ServableId) -> Option<u64> {
         let worker = &self.workers[key];
         let is_it = |step: &Step| {
-            step.model == want.model && (step.adapter == want.adapter || step.adapter.is_none())
+            step.model == servable.model && (step.adapter == servable.adapter || step.adapter.is_none())
         };
         let mut wait = 0;
         if let Some(order) = &worker.order {
             wait = order.done_at.max(now) - now + self.settings.report_lag_ms;
-            if order.phase == OrderPhase::Taken && is_it(&order.step) {
+            if order.phase == OrderPhase::Accepted && is_it(&order.step) {
                 return Some(wait);
             }
         }
         for step in &worker.plan {
-            wait += self.known_after_ms(key, step);
+            wait += self.confirmed_after_ms(key, step);
             if is_it(step) {
                 return Some(wait);
             }
--- a/crates/placement/src/policy/mod.rs
+++ b/crates/placement/src/policy/mod.rs
@@ -9,5 +9,5 @@
 mod replica_scaling;
 mod turns;
 
-pub(crate) use missing::{MissingTable, Want};
+pub(crate) use missing::{MissingTable, ServableId};
 pub(crate) use turns::Turns;
--- a/crates/placement/src/policy/rebalancing.rs
+++ b/crates/placement/src/policy/rebalancing.rs
@@ -2,7 +2,7 @@
 
 use crate::catalogue::ModelIndex;
 use crate::planner::Planner;
-use crate::policy::model_placement::Reason;
+use crate::policy::model_placement::PlacementReason;
 use crate::worker::WorkerKey;
 
 /// Load from which a worker is relieved, as a share of its slots or memory.
@@ -10,20 +10,20 @@
 /// How many times the mean load a worker may have.
 const IMBALANCE: f64 = 1.5;
 /// Time that a copy loaded elsewhere is given to take its effect, in milliseconds, beside its load.
-const EFFECT_MS: u64 = 3_000;
+const SETTLE_MS: u64 = 3_000;
 
 impl Planner {
     /// Plans one more copy of the busiest model of the most loaded worker, if that has far more to do than the mean.
-    pub(crate) fn relieve(&mut self, now: u64) {
-        let Some(key) = self.overloaded(now) else { return };
+    pub(crate) fn relieve_most_overloaded(&mut self, now: u64) {
+        let Some(key) = self.most_overloaded_worker(now) else { return };
         let Some(model) = self.busiest_model(key) else { return };
-        if self.place_model(now, model, Reason::Growth) {
+        if self.place_model(now, model, PlacementReason::Growth) {
             let load_ms = self.catalogue.spec(model).load_ms;
-            self.workers[key].relieved_until = now + load_ms + EFFECT_MS;
+            self.workers[key].relieved_until = now + load_ms + SETTLE_MS;
         }
     }
 
-    fn overloaded(&self, now: u64) -> Option<WorkerKey> {
+    fn most_overloaded_worker(&self, now: u64) -> Option<WorkerKey> {
         let ready = || self.workers.iter().filter(|(_, worker)| worker.is_ready());
         let total: f64 = ready().map(|(_, worker)| worker.load(&self.engine)).sum();
         let mean = total / ready().count().max(1) as f64;
@@ -37,17 +37,17 @@
     /// The model on a worker with the most load a copy, if none of its copies is still to come.
     fn busiest_model(&self, key: WorkerKey) -> Option<ModelIndex> {
         let worker = &self.workers[key];
-        let load_of_copy = |model: ModelIndex| {
-            let copies = self.copies[model.get()].count().max(1) as f64;
-            self.demand.get(&model).map_or(0.0, |demand| demand.slots / copies)
+        let load_per_replica = |model: ModelIndex| {
+            let replicas = self.replicas[model.get()].count().max(1) as f64;
+            self.demand.get(&model).map_or(0.0, |demand| demand.slots / replicas)
         };
         let settled = worker
-            .holdings
+            .model_records
             .iter()
-            .map(|holding| holding.model)
-            .filter(|model| worker.stands(*model) && self.copies[model.get()].coming.is_empty());
+            .map(|record| record.model)
+            .filter(|model| worker.serves(*model) && self.replicas[model.get()].pending.is_empty());
         settled
-            .map(|model| (load_of_copy(model), model))
+            .map(|model| (load_per_replica(model), model))
             .filter(|(load, _)| *load > 0.0)
             .max_by(|left, right| left.0.total_cmp(&right.0))
             .map(|(_, model)| model)
--- a/crates/placement/src/policy/replica_scaling.rs
+++ b/crates/placement/src/policy/replica_scaling.rs
@@ -2,13 +2,13 @@
 
 use crate::catalogue::ModelIndex;
 use crate::planner::Planner;
-use crate::policy::model_placement::Reason;
+use crate::policy::model_placement::PlacementReason;
 use crate::worker::WorkerKey;
 
 /// Share of a worker's slots below which a copy is surplus.
 const SURPLUS_OCCUPANCY: f64 = 0.15;
 /// Requests a second from which a model should stand on two workers, so that the loss of one stops nothing.
-const TWO_COPIES_RATE: f64 = 2.0;
+const REDUNDANCY_RATE: f64 = 2.0;
 /// A model asked for within this time is planned at once when its last holder is lost, in milliseconds.
 const RECENT_MS: u64 = 5_000;
 /// Adapters asked for within this time count as active, in milliseconds.
@@ -19,92 +19,92 @@
 /// Share of a worker's slots that requests for one adapter should occupy at most.
 const ADAPTER_OCCUPANCY: f64 = 0.2;
 /// Copies planned in one round; bounds the work of a round.
-const PLANNED_A_ROUND: usize = 4;
+const PLANS_PER_ROUND: usize = 4;
 
 impl Planner {
     /// Samples the demand of all active models and sets how many copies each should have.
     pub(crate) fn sample_demand(&mut self, now: u64) {
-        self.demand.retain(|_, demand| !demand.is_forgotten(now));
+        self.demand.retain(|_, demand| !demand.is_expired(now));
         let ready = self.workers.values().filter(|worker| worker.is_ready()).count();
         let slots = f64::from(self.engine.slots.max(1));
         let adapter_slots = f64::from(self.engine.adapter_slots.max(1));
         let wanted_occupancy = self.settings.wanted_occupancy;
-        self.anticipate(ready);
+        self.update_anticipated(ready);
         for (model, demand) in &mut self.demand {
             let load_ms = self.catalogue.spec(*model).load_ms;
             demand.sample(now);
-            let for_load = (demand.slots_ahead / (slots * wanted_occupancy)).ceil() as usize;
+            let load_replicas = (demand.forecast_slots / (slots * wanted_occupancy)).ceil() as usize;
             let active = demand.adapters(now, ACTIVE_ADAPTER_MS).count() as f64;
-            let for_adapters = (active / (adapter_slots * ADAPTERS_PER_SLOT)).ceil() as usize;
+            let adapter_replicas = (active / (adapter_slots * ADAPTERS_PER_SLOT)).ceil() as usize;
             let urgent = demand.latency_target_ms < load_ms;
-            let for_loss = if urgent && demand.slow_rate >= TWO_COPIES_RATE { 2 } else { 0 };
-            demand.for_adapters = for_adapters;
-            demand.target = for_load.max(for_adapters).max(for_loss).min(ready);
-            let kept = (demand.held_slots / (slots * SURPLUS_OCCUPANCY)).ceil() as usize;
-            demand.keep = kept.max(demand.target);
+            let redundant_replicas = if urgent && demand.slow_rate >= REDUNDANCY_RATE { 2 } else { 0 };
+            demand.adapter_replicas = adapter_replicas;
+            demand.target_replicas = load_replicas.max(adapter_replicas).max(redundant_replicas).min(ready);
+            let kept = (demand.peak_slots / (slots * SURPLUS_OCCUPANCY)).ceil() as usize;
+            demand.max_replicas = kept.max(demand.target_replicas);
         }
     }
 
     /// Plans copies for models that have fewer than they should, those with the most load per copy first.
-    pub(crate) fn grow(&mut self, now: u64) {
+    pub(crate) fn add_replicas(&mut self, now: u64) {
         let models: Vec<ModelIndex> = self.demand.keys().copied().collect();
-        let mut short: Vec<(f64, ModelIndex, Reason)> = Vec::new();
+        let mut short: Vec<(f64, ModelIndex, PlacementReason)> = Vec::new();
         for model in models {
-            if let Some((pressure, reason)) = self.shortage(now, model) {
+            if let Some((pressure, reason)) = self.replica_shortage(now, model) {
                 short.push((pressure, model, reason));
             }
         }
         short.sort_by(|left, right| right.0.total_cmp(&left.0));
-        for (_, model, reason) in short.into_iter().take(PLANNED_A_ROUND) {
+        for (_, model, reason) in short.into_iter().take(PLANS_PER_ROUND) {
             self.place_model(now, model, reason);
         }
-        self.grow_adapters(now);
+        self.add_adapter_replicas(now);
     }
 
     /// Plans copies for crowded models, those with the most load a copy first, as far as the store and room allow.
-    pub(crate) fn relieve_crowded(&mut self, now: u64) {
+    pub(crate) fn add_replicas_of_overloaded(&mut self, now: u64) {
         let slots = f64::from(self.engine.slots.max(1));
         let models: Vec<ModelIndex> = self.demand.keys().copied().collect();
         let mut crowded: Vec<(f64, ModelIndex, f64)> = Vec::new();
         for model in models {
-            let copies = self.copies_of(model).count() as f64;
-            let ahead = self.demand[&model].slots_ahead;
-            let excess = ahead - copies * slots * self.settings.crowded_occupancy;
-            if copies > 0.0 && excess > 0.0 {
-                crowded.push((ahead / copies, model, excess));
+            let replicas = self.replicas_of(model).count() as f64;
+            let ahead = self.demand[&model].forecast_slots;
+            let excess = ahead - replicas * slots * self.settings.crowded_occupancy;
+            if replicas > 0.0 && excess > 0.0 {
+                crowded.push((ahead / replicas, model, excess));
             }
         }
         crowded.sort_by(|left, right| right.0.total_cmp(&left.0));
         let mut unserved = false;
-        for (_, model, excess) in crowded.into_iter().take(PLANNED_A_ROUND) {
-            unserved |= !self.place_model(now, model, Reason::Crowded { excess });
+        for (_, model, excess) in crowded.into_iter().take(PLANS_PER_ROUND) {
+            unserved |= !self.place_model(now, model, PlacementReason::Overloaded { excess });
         }
-        self.tokens_kept_for_crowded = if unserved { 1.0 } else { 0.0 };
+        self.tokens_reserved_for_overloaded = if unserved { 1.0 } else { 0.0 };
     }
 
     /// How badly a model lacks copies, and why, or none if it has enough.
-    fn shortage(&mut self, now: u64, model: ModelIndex) -> Option<(f64, Reason)> {
+    fn replica_shortage(&mut self, now: u64, model: ModelIndex) -> Option<(f64, PlacementReason)> {
         self.catalogue.entry(model).rank?;
-        let copies = self.copies_of(model).count();
+        let replicas = self.replicas_of(model).count();
         let demand = &self.demand[&model];
         let recent = demand.idle_ms(now).is_some_and(|idle| idle <= RECENT_MS);
-        if copies == 0 && recent {
+        if replicas == 0 && recent {
             let pressure = demand.slow_rate.max(1.0);
-            return Some((f64::MAX, Reason::Missing { pressure }));
+            return Some((f64::MAX, PlacementReason::Missing { pressure }));
         }
-        let short = copies > 0 && copies < demand.target;
-        short.then(|| (demand.slots_ahead / copies as f64, Reason::Growth))
+        let short = replicas > 0 && replicas < demand.target_replicas;
+        short.then(|| (demand.forecast_slots / replicas as f64, PlacementReason::Growth))
     }
 
     /// Whether the holders of a model have too few adapter slots for the adapters in use.
     pub(crate) fn lacks_adapter_slots(&mut self, now: u64, model: ModelIndex) -> bool {
-        let slots = self.copies_of(model).count() * self.engine.adapter_slots as usize;
+        let slots = self.replicas_of(model).count() * self.engine.adapter_slots as usize;
         let Some(demand) = self.demand.get(&model) else { return false };
         demand.adapters(now, ACTIVE_ADAPTER_MS).count() > slots
     }
 
     /// Spreads adapters whose requests fill their holders.
-    fn grow_adapters(&mut self, now: u64) {
+    fn add_adapter_replicas(&mut self, now: u64) {
         let crowded = f64::from(self.engine.slots.max(1)) * ADAPTER_OCCUPANCY;
         let mut busy: Vec<(ModelIndex, String, f64)> = Vec::new();
         for (model, demand) in &self.demand {
@@ -112,11 +112,11 @@
             busy.extend(adapters.map(|(name, slots)| (*model, name.to_owned(), slots)));
         }
         for (model, adapter, slots) in busy {
-            let standing: Vec<WorkerKey> = self.copies_of(model).standing.iter().copied().collect();
+            let serving: Vec<WorkerKey> = self.replicas_of(model).serving.iter().copied().collect();
             let holds = |key: &&WorkerKey| self.workers[**key].has_adapter(model, &adapter);
-            let copies = standing.iter().filter(holds).count();
-            if copies > 0 && slots / copies as f64 > crowded {
-                self.spread_adapter(now, model, &adapter, &standing);
+            let replicas = serving.iter().filter(holds).count();
+            if replicas > 0 && slots / replicas as f64 > crowded {
+                self.replicate_adapter(now, model, &adapter, &serving);
             }
         }
     }
--- a/crates/placement/src/served_reports.rs
+++ b/crates/placement/src/served_reports.rs
@@ -6,23 +6,23 @@
 
 use std::collections::BTreeMap;
 
-use crate::policy::Want;
+use crate::policy::ServableId;
 
 /// Reports that go on for this long show that somebody has not heard, in milliseconds: longer than a message takes to
 /// reach all gatekeepers, shorter than most objectives.
-const UNHEARD_AFTER_MS: u64 = 1_000;
+const REANNOUNCE_AFTER_MS: u64 = 1_000;
 /// Reports that pause for longer than this are taken for new ones, in milliseconds.
-const FORGET_MS: u64 = 3_000;
+const EXPIRY_MS: u64 = 3_000;
 
 /// What a report of something that stands is answered with, to all gatekeepers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Answer {
+pub(crate) enum ReportAnswer {
     /// Nothing: they were told a moment ago.
-    Nothing,
+    AlreadyAnnounced,
     /// That it stands.
-    ThatItStands,
+    Served,
     /// That it stands, and once more what the workers hold on which it does.
-    WhereItStands,
+    ServedAndHolders,
 }
 
 #[derive(Debug)]
@@ -33,32 +33,32 @@
 
 /// Reports of what stands, by model and adapter.
 #[derive(Debug, Default)]
-pub(crate) struct UnheardTable {
-    reports: BTreeMap<Want, Reports>,
+pub(crate) struct ServedReportTable {
+    reports: BTreeMap<ServableId, Reports>,
 }
 
-impl UnheardTable {
+impl ServedReportTable {
     /// Takes note of a report and returns its answer.
-    pub(crate) fn note(&mut self, now: u64, want: &Want) -> Answer {
-        let Some(reports) = self.reports.get_mut(want) else {
-            self.reports.insert(want.clone(), Reports { since: now, last_at: now });
-            return Answer::ThatItStands;
+    pub(crate) fn note(&mut self, now: u64, servable: &ServableId) -> ReportAnswer {
+        let Some(reports) = self.reports.get_mut(servable) else {
+            self.reports.insert(servable.clone(), Reports { since: now, last_at: now });
+            return ReportAnswer::Served;
         };
-        let is_new = now.saturating_sub(reports.last_at) > FORGET_MS;
-        let is_unheard = now.saturating_sub(reports.since) >= UNHEARD_AFTER_MS;
+        let is_new = now.saturating_sub(reports.last_at) > EXPIRY_MS;
+        let is_unheard = now.saturating_sub(reports.since) >= REANNOUNCE_AFTER_MS;
         reports.last_at = now;
         if !is_new && !is_unheard {
-            return Answer::Nothing;
+            return ReportAnswer::AlreadyAnnounced;
         }
         reports.since = now;
         match is_new {
-            true => Answer::ThatItStands,
-            false => Answer::WhereItStands,
+            true => ReportAnswer::Served,
+            false => ReportAnswer::ServedAndHolders,
         }
     }
 
     /// Forgets what nobody reports any more.
     pub(crate) fn forget(&mut self, now: u64) {
-        self.reports.retain(|_, reports| now.saturating_sub(reports.last_at) <= FORGET_MS);
+        self.reports.retain(|_, reports| now.saturating_sub(reports.last_at) <= EXPIRY_MS);
     }
 }
--- a/crates/placement/src/store_rate_limiter.rs
+++ b/crates/placement/src/store_rate_limiter.rs
@@ -2,17 +2,17 @@
 
 /// Bucket that starts empty: a predecessor may have used all its loads just before.
 #[derive(Debug)]
-pub(crate) struct StoreRate {
+pub(crate) struct StoreRateLimiter {
     per_ms: f64,
     burst: f64,
     tokens: f64,
-    as_of: u64,
+    updated_at: u64,
 }
 
-impl StoreRate {
+impl StoreRateLimiter {
     /// An empty bucket that fills with `per_s` tokens a second up to `burst`.
     pub(crate) fn new(now: u64, per_s: f64, burst: f64) -> Self {
-        Self { per_ms: per_s / 1_000.0, burst, tokens: 0.0, as_of: now }
+        Self { per_ms: per_s / 1_000.0, burst, tokens: 0.0, updated_at: now }
     }
 
     /// Changes the rate; tokens gathered so far stay.
@@ -22,7 +22,7 @@
     }
 
     /// Takes the token of one load, or returns false.
-    pub(crate) fn take(&mut self, now: u64) -> bool {
+    pub(crate) fn try_take(&mut self, now: u64) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
             return false;
@@ -41,18 +41,18 @@
     /// sent at one moment, not what is on its way to being sent: with it as the bound, loads that wait for room would
     /// be begun at the burst over their wait, however many the store allows.
     pub(crate) fn sendable_within(&self, now: u64, within_ms: u64) -> f64 {
-        self.at(now) + within_ms as f64 * self.per_ms
+        self.tokens_at(now) + within_ms as f64 * self.per_ms
     }
 
     /// Tokens there will be at `later` if none is taken.
-    pub(crate) fn at(&self, later: u64) -> f64 {
-        let elapsed = later.saturating_sub(self.as_of) as f64;
+    pub(crate) fn tokens_at(&self, later: u64) -> f64 {
+        let elapsed = later.saturating_sub(self.updated_at) as f64;
         (self.tokens + elapsed * self.per_ms).min(self.burst)
     }
 
     /// Milliseconds from `now` until `count` more loads have their tokens.
     pub(crate) fn wait_ms(&self, now: u64, count: usize) -> u64 {
-        let lacking = count as f64 - self.at(now);
+        let lacking = count as f64 - self.tokens_at(now);
         if lacking <= 0.0 {
             return 0;
         }
@@ -63,7 +63,7 @@
     }
 
     fn refill(&mut self, now: u64) {
-        self.tokens = self.at(now);
-        self.as_of = self.as_of.max(now);
+        self.tokens = self.tokens_at(now);
+        self.updated_at = self.updated_at.max(now);
     }
 }
--- a/crates/placement/src/worker.rs
+++ b/crates/placement/src/worker.rs
@@ -17,7 +17,7 @@
 const ROUNDING_MB: f64 = 1e-6;
 
 /// Reports that may stay away before the planner no longer counts on what it ordered.
-const REPORTS_MISSED: u32 = 2;
+const MAX_UNANSWERED_REPORT_REQUESTS: u32 = 2;
 
 /// Phase of something on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 /// A model on a worker.
 #[derive(Debug, Clone)]
-pub(crate) struct Holding {
+pub(crate) struct ModelRecord {
     pub(crate) model: ModelIndex,
     pub(crate) phase: Phase,
     /// When the planner saw it come, or none if it was there before.
@@ -54,7 +54,7 @@
     /// Sent, no answer yet.
     Sent,
     /// Accepted and carried out.
-    Taken,
+    Accepted,
 }
 
 /// The order a worker has been sent.
@@ -64,7 +64,7 @@
     pub(crate) step: Step,
     pub(crate) phase: OrderPhase,
     /// Whether it took a token of the store.
-    pub(crate) took_token: bool,
+    pub(crate) used_store_token: bool,
     /// When the planner acts on it next.
     pub(crate) due: u64,
     /// When it should be done.
@@ -73,7 +73,7 @@
 
 /// A load without an answer that may still arrive.
 #[derive(Debug, Clone)]
-pub(crate) struct Doubt {
+pub(crate) struct UncertainLoad {
     pub(crate) model: ModelIndex,
     pub(crate) adapter: Option<String>,
     pub(crate) until: u64,
@@ -81,16 +81,16 @@
 
 /// What the planner knows of the truth of its record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Knowledge {
+pub(crate) enum RecordState {
     /// Every order taken so far is known; the count of orders is exact.
-    Exact {
+    Confirmed {
         /// Orders the worker has taken.
         sequence: u64,
     },
     /// A report has to tell first.
-    Unknown {
+    Unconfirmed {
         /// When to ask for the report.
-        ask_at: u64,
+        request_at: u64,
     },
 }
 
@@ -101,29 +101,29 @@
     pub(crate) address: String,
     pub(crate) zone: String,
     pub(crate) state: WorkerState,
-    pub(crate) holdings: Vec<Holding>,
+    pub(crate) model_records: Vec<ModelRecord>,
     pub(crate) plan: VecDeque<Step>,
     pub(crate) order: Option<ActiveOrder>,
-    pub(crate) knowledge: Knowledge,
+    pub(crate) record_state: RecordState,
     /// Least sequence a report must show to be newer than all the planner knows.
-    pub(crate) least_sequence: u64,
-    pub(crate) doubts: Vec<Doubt>,
+    pub(crate) min_sequence: u64,
+    pub(crate) uncertain_loads: Vec<UncertainLoad>,
     /// Reports asked for in a row without one that settles the matter.
-    pub(crate) asked: u32,
+    pub(crate) report_requests: u32,
     /// Models this incarnation provably held: they come from its own disk.
-    pub(crate) held: BTreeSet<ModelIndex>,
+    pub(crate) on_disk: BTreeSet<ModelIndex>,
     /// Models held at this address before the restart: they probably come from its own disk.
-    pub(crate) held_before: BTreeSet<ModelIndex>,
+    pub(crate) probably_on_disk: BTreeSet<ModelIndex>,
     /// Orders the worker rejected, with the time until which they aren't tried again.
     pub(crate) rejected: BTreeMap<ModelIndex, u64>,
     /// What routers were last told of it by this planner, if anything. They may hold the word of an earlier one, which
     /// counts for more with them than a heartbeat; so nothing may be taken for told that this planner has not told.
     pub(crate) announced: Option<Vec<Resident>>,
-    pub(crate) heard_sequence: u64,
+    pub(crate) heartbeat_sequence: u64,
     pub(crate) changed_at: u64,
-    pub(crate) checked_at: u64,
+    pub(crate) heartbeat_checked_at: u64,
     pub(crate) occupied: u32,
-    pub(crate) memory_share: f64,
+    pub(crate) kv_share: f64,
     /// Until when no further copy is loaded elsewhere to relieve it.
     pub(crate) relieved_until: u64,
     /// Models under which the record stands in the planner's index.
@@ -131,29 +131,29 @@
 }
 
 impl Worker {
-    /// Record of a worker seen for the first time; its report is due at `ask_at`.
-    pub(crate) fn new(now: u64, view: &WorkerView, ask_at: u64) -> Self {
+    /// Record of a worker seen for the first time; its report is due at `request_at`.
+    pub(crate) fn new(now: u64, view: &WorkerView, request_at: u64) -> Self {
         Self {
             id: view.id.clone(),
             address: view.address.clone(),
             zone: view.zone.clone(),
             state: view.state,
-            holdings: Vec::new(),
+            model_records: Vec::new(),
             plan: VecDeque::new(),
             order: None,
-            knowledge: Knowledge::Unknown { ask_at },
-            least_sequence: 0,
-            doubts: Vec::new(),
-            asked: 0,
-            held: BTreeSet::new(),
-            held_before: BTreeSet::new(),
+            record_state: RecordState::Unconfirmed { request_at },
+            min_sequence: 0,
+            uncertain_loads: Vec::new(),
+            report_requests: 0,
+            on_disk: BTreeSet::new(),
+            probably_on_disk: BTreeSet::new(),
             rejected: BTreeMap::new(),
             announced: None,
-            heard_sequence: view.as_of_sequence,
+            heartbeat_sequence: view.as_of_sequence,
             changed_at: now,
-            checked_at: now,
+            heartbeat_checked_at: now,
             occupied: 0,
-            memory_share: 0.0,
+            kv_share: 0.0,
             relieved_until: 0,
             indexed: Vec::new(),
         }
@@ -165,14 +165,14 @@
     }
 
     /// Whether a plan about models may be made for it now.
-    pub(crate) fn is_free(&self) -> bool {
-        self.is_ready() && self.order.is_none() && self.plan.is_empty() && self.is_exact()
+    pub(crate) fn is_idle(&self) -> bool {
+        self.is_ready() && self.order.is_none() && self.plan.is_empty() && self.is_confirmed()
     }
 
     /// Whether a load of a model may be planned for it, behind steps about adapters at the most: those take moments, and a
     /// worker whose adapters change all the time would never be free otherwise.
     pub(crate) fn takes_model_loads(&self) -> bool {
-        self.is_ready() && self.is_exact() && self.has_only_adapter_steps()
+        self.is_ready() && self.is_confirmed() && self.has_only_adapter_steps()
     }
 
     /// Whether neither the order under way nor the plan is about a whole model.
@@ -182,42 +182,42 @@
     }
 
     /// Whether it has been told to unload something and reports show it still there: requests run on it.
-    pub(crate) fn waits_for_runs(&self, now: u64, report_lag_ms: u64) -> bool {
+    pub(crate) fn unload_waits_for_requests(&self, now: u64, report_lag_ms: u64) -> bool {
         self.order.as_ref().is_some_and(|order| {
             let should_be_done = now > order.done_at + report_lag_ms;
-            order.step.operation == Operation::Unload && order.phase == OrderPhase::Taken && should_be_done
+            order.step.operation == Operation::Unload && order.phase == OrderPhase::Accepted && should_be_done
         })
     }
 
     /// Whether what it holds is known well enough to be told: once it has reported to this planner.
     pub(crate) fn may_be_announced(&self) -> bool {
-        self.announced.is_some() || self.is_exact()
+        self.announced.is_some() || self.is_confirmed()
     }
 
     /// Whether all orders it has taken are known.
-    pub(crate) fn is_exact(&self) -> bool {
-        matches!(self.knowledge, Knowledge::Exact { .. })
+    pub(crate) fn is_confirmed(&self) -> bool {
+        matches!(self.record_state, RecordState::Confirmed { .. })
     }
 
     /// Whether it has answered the planner lately, so that what was ordered can be expected to come.
-    pub(crate) fn answers(&self) -> bool {
-        self.asked <= REPORTS_MISSED
+    pub(crate) fn is_responsive(&self) -> bool {
+        self.report_requests <= MAX_UNANSWERED_REPORT_REQUESTS
     }
 
     /// Share of its slots or memory in use; above 1 when requests queue.
     pub(crate) fn load(&self, engine: &Engine) -> f64 {
         let slots = f64::from(engine.slots.max(1));
-        (f64::from(self.occupied) / slots).max(self.memory_share)
+        (f64::from(self.occupied) / slots).max(self.kv_share)
     }
 
     /// The record of a model on it.
-    pub(crate) fn holding(&self, model: ModelIndex) -> Option<&Holding> {
-        self.holdings.iter().find(|holding| holding.model == model)
+    pub(crate) fn model_record(&self, model: ModelIndex) -> Option<&ModelRecord> {
+        self.model_records.iter().find(|record| record.model == model)
     }
 
     /// The record of a model on it, to be changed.
-    pub(crate) fn holding_mut(&mut self, model: ModelIndex) -> Option<&mut Holding> {
-        self.holdings.iter_mut().find(|holding| holding.model == model)
+    pub(crate) fn model_record_mut(&mut self, model: ModelIndex) -> Option<&mut ModelRecord> {
+        self.model_records.iter_mut().find(|record| record.model == model)
     }
 
     /// Whether the plan or the order under way brings or removes the model itself.
@@ -228,14 +228,14 @@
     }
 
     /// Whether requests for the model may be sent to it, and go on so.
-    pub(crate) fn stands(&self, model: ModelIndex) -> bool {
-        let resident = self.holding(model).is_some_and(|holding| holding.phase == Phase::Resident);
+    pub(crate) fn serves(&self, model: ModelIndex) -> bool {
+        let resident = self.model_record(model).is_some_and(|record| record.phase == Phase::Resident);
         resident && !self.is_planned(Operation::Unload, model)
     }
 
     /// Whether an adapter stands, or is planned or under way.
     pub(crate) fn has_adapter(&self, model: ModelIndex, adapter: &str) -> bool {
-        let held = self.holding(model).and_then(|holding| holding.adapters.get(adapter));
+        let held = self.model_record(model).and_then(|record| record.adapters.get(adapter));
         held.is_some_and(|phase| *phase != Phase::Unloading) || self.is_adapter_planned(model, adapter)
     }
 
@@ -250,9 +250,10 @@
 
     /// Megabytes in use, counting everything that may be there.
     pub(crate) fn used_mb(&self, now: u64, catalogue: &Catalogue) -> f64 {
-        let held: f64 = self.holdings.iter().map(|holding| holding_mb(holding, catalogue)).sum();
-        let doubted: f64 = self.open_doubts(now).map(|doubt| doubt_mb(doubt, catalogue)).sum();
-        held + doubted
+        let held: f64 = self.model_records.iter().map(|record| model_record_mb(record, catalogue)).sum();
+        let uncertain: f64 =
+            self.open_uncertain_loads(now).map(|uncertain| uncertain_load_mb(uncertain, catalogue)).sum();
+        held + uncertain
     }
 
     /// Megabytes that adapters still to be ordered will use.
@@ -264,8 +265,8 @@
 
     /// Adapter slots in use, counting everything that may be there.
     pub(crate) fn used_adapters(&self, now: u64) -> usize {
-        let held: usize = self.holdings.iter().map(|holding| holding.adapters.len()).sum();
-        held + self.open_doubts(now).filter(|doubt| doubt.adapter.is_some()).count()
+        let held: usize = self.model_records.iter().map(|record| record.adapters.len()).sum();
+        held + self.open_uncertain_loads(now).filter(|uncertain| uncertain.adapter.is_some()).count()
     }
 
     /// Whether a step may be sent without going over the worker's room.
@@ -280,43 +281,51 @@
     }
 
     /// What requests may be sent to it for.
-    pub(crate) fn servable(&self, catalogue: &Catalogue) -> Vec<Resident> {
-        let standing = self.holdings.iter().filter(|holding| holding.phase == Phase::Resident);
-        standing
-            .map(|holding| Resident {
-                name: catalogue.spec(holding.model).name.clone(),
-                adapters: resident_adapters(holding),
+    pub(crate) fn served_models(&self, catalogue: &Catalogue) -> Vec<Resident> {
+        let serving = self.model_records.iter().filter(|record| record.phase == Phase::Resident);
+        serving
+            .map(|record| Resident {
+                name: catalogue.spec(record.model).name.clone(),
+                adapters: resident_adapters(record),
             })
             .collect()
     }
 
     /// Replaces the record by what the worker itself says; keeps since when a model stands.
-    pub(crate) fn adopt(&mut self, now: u64, models: &[Resident], catalogue: &mut Catalogue, first: bool) {
-        let adopted = models.iter().map(|resident| {
-            let model = catalogue.seen(&resident.name);
-            let known = self.holding(model).filter(|holding| holding.phase == Phase::Resident);
-            let since = if first { None } else { known.map_or(Some(now), |holding| holding.since) };
+    pub(crate) fn replace_record(
+        &mut self,
+        now: u64,
+        models: &[Resident],
+        catalogue: &mut Catalogue,
+        first: bool,
+    ) {
+        let recorded = models.iter().map(|resident| {
+            let model = catalogue.intern(&resident.name);
+            let known = self.model_record(model).filter(|record| record.phase == Phase::Resident);
+            let since = if first { None } else { known.map_or(Some(now), |record| record.since) };
             let adapters = resident.adapters.iter().map(|name| (name.clone(), Phase::Resident)).collect();
-            Holding { model, phase: Phase::Resident, since, adapters }
+            ModelRecord { model, phase: Phase::Resident, since, adapters }
         });
-        let adopted: Vec<Holding> = adopted.collect();
-        self.held.extend(adopted.iter().map(|holding| holding.model));
-        self.holdings = adopted;
+        let recorded: Vec<ModelRecord> = recorded.collect();
+        self.on_disk.extend(recorded.iter().map(|record| record.model));
+        self.model_records = recorded;
     }
 
     /// Whether the heartbeat's list names the same models and adapters as the record.
-    pub(crate) fn agrees_with(&self, models: &[Resident], catalogue: &Catalogue) -> bool {
-        same_residents(&self.servable(catalogue), models)
+    pub(crate) fn matches(&self, models: &[Resident], catalogue: &Catalogue) -> bool {
+        same_residents(&self.served_models(catalogue), models)
     }
 
-    fn open_doubts(&self, now: u64) -> impl Iterator<Item = &Doubt> {
-        self.doubts.iter().filter(move |doubt| now < doubt.until && !self.covers(doubt))
+    fn open_uncertain_loads(&self, now: u64) -> impl Iterator<Item = &UncertainLoad> {
+        self.uncertain_loads
+            .iter()
+            .filter(move |uncertain| now < uncertain.until && !self.is_recorded(uncertain))
     }
 
     /// Whether what is doubted stands in the record already.
-    fn covers(&self, doubt: &Doubt) -> bool {
-        self.holding(doubt.model).is_some_and(|holding| {
-            doubt.adapter.as_ref().is_none_or(|adapter| holding.adapters.contains_key(adapter))
+    fn is_recorded(&self, uncertain: &UncertainLoad) -> bool {
+        self.model_record(uncertain.model).is_some_and(|record| {
+            uncertain.adapter.as_ref().is_none_or(|adapter| record.adapters.contains_key(adapter))
         })
     }
 }
@@ -333,19 +342,19 @@
     sorted(left) == sorted(right)
 }
 
-fn resident_adapters(holding: &Holding) -> Vec<String> {
-    let resident = holding.adapters.iter().filter(|(_, phase)| **phase == Phase::Resident);
+fn resident_adapters(record: &ModelRecord) -> Vec<String> {
+    let resident = record.adapters.iter().filter(|(_, phase)| **phase == Phase::Resident);
     resident.map(|(name, _)| name.clone()).collect()
 }
 
-fn holding_mb(holding: &Holding, catalogue: &Catalogue) -> f64 {
-    let spec = catalogue.spec(holding.model);
-    spec.weights_mb + spec.adapter_mb * holding.adapters.len() as f64
+fn model_record_mb(record: &ModelRecord, catalogue: &Catalogue) -> f64 {
+    let spec = catalogue.spec(record.model);
+    spec.weights_mb + spec.adapter_mb * record.adapters.len() as f64
 }
 
-fn doubt_mb(doubt: &Doubt, catalogue: &Catalogue) -> f64 {
-    let spec = catalogue.spec(doubt.model);
-    if doubt.adapter.is_some() {
+fn uncertain_load_mb(uncertain: &UncertainLoad, catalogue: &Catalogue) -> f64 {
+    let spec = catalogue.spec(uncertain.model);
+    if uncertain.adapter.is_some() {
         spec.adapter_mb
     } else {
         spec.weights_mb
