--- a/crates/placement/src/policy/adapter_placement.rs
+++ b/crates/placement/src/policy/adapter_placement.rs
@@ -1,25 +1,25 @@
-//! Which worker gets an adapter.
+//! Selection of the worker on which an adapter is loaded.
 
 use crate::catalogue::ModelIndex;
 use crate::message::Operation;
 use crate::planner::Planner;
 use crate::worker::{Phase, Step, WorkerKey};
 
-/// An adapter idle for less than this stays, in milliseconds.
+/// Idle time before an adapter may be evicted, in milliseconds.
 const ADAPTER_IDLE_MS: u64 = 1_500;
-/// An adapter idle for less than this stays even when another has waited for long, in milliseconds.
+/// Idle time before an adapter may be evicted for one with a long wait, in milliseconds.
 const ADAPTER_BRIEFLY_IDLE_MS: u64 = 300;
-/// Requests have waited for long after this time, in milliseconds.
+/// Waiting time that counts as a long wait, in milliseconds.
 const LONG_WAIT_MS: u64 = 1_000;
-/// Steps about adapters that may be queued on one worker.
-const QUEUED_STEPS: usize = 4;
-/// Cost of a full worker against an idle one.
+/// Number of adapter steps in a worker's plan from which no more are added.
+const MAX_PLANNED_STEPS: usize = 4;
+/// Cost of a fully loaded worker relative to an idle one.
 const LOAD_COST: f64 = 4.0;
 /// Cost of unloading another adapter first.
 const UNLOAD_COST: f64 = 2.0;
-/// Cost of each step queued before.
+/// Cost of each step already planned.
 const QUEUE_COST: f64 = 0.5;
-/// Range of the random part that settles ties.
+/// Range of the random term that breaks ties.
 const TIE_BREAK: f64 = 0.05;
 
 /// An adapter that may be unloaded.
@@ -30,8 +30,8 @@
 }
 
 impl Planner {
-    /// Plans an adapter on the best worker on which its model stands. Returns whether it stands or is planned.
-    /// The longer requests have waited for it, the less idle another adapter need be to give way.
+    /// Plans an adapter on the best worker that serves its model. Returns whether it is loaded or planned.
+    /// After a long wait, adapters with a shorter idle time may be evicted for it.
     pub(crate) fn place_adapter(
         &mut self,
         now: u64,
@@ -47,7 +47,7 @@
         self.add_adapter_replica(now, model, adapter, &serving, idle_ms)
     }
 
-    /// Plans one more copy of an adapter, where that disturbs no other.
+    /// Plans one more replica of an adapter if a slot is free or another adapter is idle.
     pub(crate) fn replicate_adapter(
         &mut self,
         now: u64,
@@ -58,7 +58,7 @@
         self.add_adapter_replica(now, model, adapter, holders, ADAPTER_IDLE_MS);
     }
 
-    /// Plans an adapter on the best of the given workers that doesn't hold it.
+    /// Plans an adapter on the best of the given workers that does not hold it.
     fn add_adapter_replica(
         &mut self,
         now: u64,
@@ -93,7 +93,7 @@
     fn may_load_adapter(&self, now: u64, key: WorkerKey, model: ModelIndex) -> bool {
         let worker = &self.workers[key];
         let rejected = worker.rejected.get(&model).is_some_and(|until| now < *until);
-        let queue_left = worker.plan.len() < QUEUED_STEPS;
+        let queue_left = worker.plan.len() < MAX_PLANNED_STEPS;
         !rejected
             && worker.is_ready()
             && worker.is_confirmed()
@@ -109,7 +109,7 @@
         (self.engine.adapter_slots as usize).saturating_sub(used)
     }
 
-    /// The adapter on a worker that was asked for longest ago, and not within `idle_ms`.
+    /// The least recently requested adapter on a worker, if it has been idle for at least `idle_ms`.
     fn adapter_victim(&self, now: u64, key: WorkerKey, idle_ms: u64) -> Option<AdapterVictim> {
         let worker = &self.workers[key];
         let mut oldest: Option<(u64, AdapterVictim)> = None;
@@ -118,7 +118,7 @@
             for (adapter, _) in resident {
                 let idle = self.adapter_idle_ms(now, record.model, adapter);
                 let planned = worker.plan.iter().any(|step| step.adapter.as_ref() == Some(adapter));
-                let older = oldest.as_ref().is_none_or(|(most, _)| idle > *most);
+                let older = oldest.as_ref().is_none_or(|(longest, _)| idle > *longest);
                 if idle >= idle_ms && !planned && older {
                     oldest = Some((idle, AdapterVictim { model: record.model, adapter: adapter.clone() }));
                 }
--- a/crates/placement/src/policy/anticipation.rs
+++ b/crates/placement/src/policy/anticipation.rs
@@ -1,9 +1,10 @@
-//! Copies ahead of demand: what is busy now is often followed by its neighbours in the operator's list.
+//! Predictive loading: demand often moves from a busy model to its successors in the operator's list.
 //!
-//! Demand moves along the list of models: the busiest fall silent and the next in the list rise within seconds, while
-//! a load from the store takes as long. So the models that follow busy ones get a few copies while the store and the
-//! workers have nothing better to do. A worker that has held a model once loads it again from its own disk, which is
-//! quick and free of the store's rate, so even a copy that gives way again is not lost.
+//! Demand moves along the list of models: the busiest become idle and the next ones in the list become busy within
+//! seconds, while a load from the store takes just as long. Successors of busy models therefore get a few replicas
+//! while the store and the workers have capacity to spare. A worker that has held a model before reloads it from its
+//! own disk, which is fast and not subject to the store's rate limit, so a replica that is evicted again was still
+//! worth loading.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +12,25 @@
 use crate::planner::Planner;
 use crate::policy::model_placement::PlacementReason;
 
-/// How many places in the list demand may move on at once.
+/// Positions in the list by which demand may move at once.
 const NEIGHBOURS: usize = 3;
-/// Share of a busy model's demand for which its successors are prepared.
+/// Share of a busy model's demand that its successors get replicas for.
 const ANTICIPATED_SHARE: f64 = 0.4;
-/// Copies prepared at the most.
+/// Maximum number of replicas loaded ahead of demand per model.
 const MAX_REPLICAS: usize = 4;
-/// Requests running at each copy, as a share of its slots, that are assumed before any demand is known: operators begin
-/// with several copies of what they expect to be busy.
+/// Occupancy assumed for each replica before any demand is known: operators start with several replicas of the models
+/// they expect to be busy.
 const ASSUMED_OCCUPANCY: f64 = 0.15;
-/// Requests running for a model, as a share of a worker's slots, below which its successors aren't prepared.
+/// Share of a worker's slots that a model must occupy for its successors to get replicas.
 const MIN_OCCUPANCY: f64 = 0.1;
-/// Requests running for some model from which demand counts as known.
+/// Slots that some model must occupy for demand to count as known.
 const DEMAND_KNOWN_SLOTS: f64 = 2.0;
-/// Copies planned in one round.
+/// Replicas planned per round; bounds the work of a round.
 const PLANS_PER_ROUND: usize = 2;
 
 impl Planner {
-    /// Copies that models should have because of their busy predecessors in the operator's list.
+    /// Updates the number of replicas that models should have because their predecessors in the operator's list are
+    /// busy.
     pub(crate) fn update_anticipated(&mut self, ready: usize) {
         let slots = f64::from(self.engine.slots.max(1));
         let busy = self.busy_by_rank();
@@ -39,22 +41,22 @@
         }
         for (model, rank) in models {
             let before = rank.saturating_sub(NEIGHBOURS)..rank;
-            let most = before.filter_map(|rank| busy.get(&rank)).copied().fold(0.0, f64::max);
-            if most < MIN_OCCUPANCY * slots {
+            let busiest = before.filter_map(|rank| busy.get(&rank)).copied().fold(0.0, f64::max);
+            if busiest < MIN_OCCUPANCY * slots {
                 continue;
             }
             let replicas =
-                (most * ANTICIPATED_SHARE / (slots * self.settings.wanted_occupancy)).ceil() as usize;
+                (busiest * ANTICIPATED_SHARE / (slots * self.settings.wanted_occupancy)).ceil() as usize;
             self.anticipated.insert(model, replicas.min(MAX_REPLICAS).min(ready));
         }
     }
 
-    /// Plans copies that are wanted only because of their predecessors.
+    /// Plans replicas that are needed only because predecessors are busy.
     pub(crate) fn place_anticipated(&mut self, now: u64) {
         let mut short: Vec<(usize, ModelIndex)> = Vec::new();
-        for (model, wanted) in self.anticipated.clone() {
+        for (model, target) in self.anticipated.clone() {
             let replicas = self.replicas_of(model).count();
-            if replicas < wanted {
+            if replicas < target {
                 short.push((replicas, model));
             }
         }
@@ -69,7 +71,7 @@
         names.enumerate().map(|(rank, model)| (model, rank)).collect()
     }
 
-    /// Requests running for each urgent model, by its rank in the list.
+    /// Slots occupied by each urgent model, by its rank in the list; assumed values while demand is unknown.
     fn busy_by_rank(&mut self) -> BTreeMap<usize, f64> {
         let models = self.configured_models();
         let known = self.demand.values().any(|demand| demand.slots >= DEMAND_KNOWN_SLOTS);
--- a/crates/placement/src/policy/eviction.rs
+++ b/crates/placement/src/policy/eviction.rs
@@ -1,4 +1,4 @@
-//! What gives way on a worker when room is needed.
+//! Selection of models to unload from a worker when memory is needed.
 
 use crate::catalogue::ModelIndex;
 use crate::demand::ModelDemand;
@@ -6,57 +6,57 @@
 use crate::policy::model_placement::PlacementReason;
 use crate::worker::{ModelRecord, Phase, WorkerKey};
 
-/// A model stays this long after its load unless it is never asked for, in milliseconds.
+/// A requested model stays at least this long after its load, in milliseconds.
 const MIN_RESIDENCY_MS: u64 = 4_000;
-/// Only copy: idle this long, it gives way to anything, in milliseconds.
+/// Idle time after which a sole replica may be evicted for any load, in milliseconds.
 const LONG_IDLE_MS: u64 = 10_000;
-/// Only copy: idle this long, it gives way to requests that wait, in milliseconds.
+/// Idle time after which a sole replica may be evicted for waiting requests, in milliseconds.
 const SHORT_IDLE_MS: u64 = 3_000;
-/// Time from the first demand after which copies that demand doesn't need are surplus, in milliseconds.
+/// Time from the first demand report after which replicas beyond the demand count as surplus, in milliseconds.
 const DEMAND_KNOWN_AFTER_MS: u64 = 2_000;
-/// How many times the requests that will miss it during a reload must wait for another model before the only copy of
-/// one in use gives way.
+/// A sole replica in use is evicted only for a model with this many times as many waiting requests as the evicted model
+/// is expected to receive during its reload.
 const IN_USE_EVICTION_RATIO: f64 = 1.5;
 
-/// Costs of giving way, in milliseconds of delay to the load they make room for.
+/// Eviction costs, as milliseconds of delay to the load that needs the memory.
 mod cost {
-    /// A model that isn't configured any more.
+    /// A model that is no longer configured.
     pub(super) const UNCONFIGURED: f64 = 0.0;
-    /// A copy beyond what demand needs.
+    /// A replica beyond what demand needs.
     pub(super) const SURPLUS: f64 = 50.0;
-    /// An only copy nobody asked for in a long time.
+    /// A sole replica that has been idle for a long time.
     pub(super) const LONG_IDLE: f64 = 400.0;
-    /// Range over which a long idle copy costs less, the longer it is idle.
+    /// Range by which the cost of a long-idle replica falls with its idle time.
     pub(super) const LONG_IDLE_RANGE: f64 = 600.0;
-    /// A copy that demand could use, though the others can carry it.
+    /// A replica that demand could use, although the others can carry the load.
     pub(super) const USEFUL: f64 = 2_500.0;
-    /// An only copy asked for a few seconds ago.
+    /// A sole replica that was requested a few seconds ago.
     pub(super) const SHORT_IDLE: f64 = 1_500.0;
-    /// Each request that will probably miss an only copy during a reload, and can't wait that long.
+    /// Each request expected during the reload of a sole replica whose latency target is shorter than the reload.
     pub(super) const MISSED_URGENT: f64 = 400.0;
-    /// Each request that will probably miss an only copy during a reload, but can wait.
+    /// Each request expected during the reload of a sole replica whose latency target allows for the reload.
     pub(super) const MISSED_PATIENT: f64 = 100.0;
-    /// An only copy in use.
+    /// A sole replica in use.
     pub(super) const IN_USE: f64 = 6_000.0;
-    /// An only copy of a model that is expected to be busy soon, beside its other costs.
+    /// Surcharge for a sole replica of a model that is expected to be busy soon.
     pub(super) const ANTICIPATED: f64 = 3_000.0;
 }
 
-/// What room may cost at the most. Beyond that, it is better to wait until another worker is free: a load takes some 4 s.
+/// Upper limits of the eviction cost. Above them it is better to wait for another worker: a load takes about 4 s.
 mod limit {
-    /// For a missing model, however few wait for it.
+    /// For a missing model, regardless of the number of waiting requests.
     pub(super) const MISSING: f64 = 4_000.0;
-    /// More for each request that waits for it, and for each two seconds of waiting.
+    /// Added for each waiting request, and for each two seconds of waiting.
     pub(super) const MISSING_PER_REQUEST: f64 = 1_000.0;
-    /// For a copy of a crowded model.
+    /// For a replica of an overloaded model.
     pub(super) const OVERLOADED: f64 = 3_000.0;
-    /// More for each request beyond what its copies should run.
+    /// Added for each request beyond what its replicas should run.
     pub(super) const OVERLOADED_PER_REQUEST: f64 = 300.0;
-    /// For other copies.
+    /// For other replicas.
     pub(super) const REPLICA: f64 = 4_000.0;
 }
 
-/// Models to unload, and what that costs.
+/// Models to unload, and the total cost.
 #[derive(Debug, Default)]
 pub(crate) struct Victims {
     pub(crate) models: Vec<ModelIndex>,
@@ -64,8 +64,8 @@
 }
 
 impl Planner {
-    /// Cheapest models to unload so that `model` fits onto the worker, or none if it can't be made to fit at a price that
-    /// the reason is worth.
+    /// Cheapest models to unload so that `model` fits on the worker, or `None` if that is impossible or costs more than
+    /// the reason allows.
     pub(crate) fn choose_victims(
         &self,
         now: u64,
@@ -99,7 +99,7 @@
         None
     }
 
-    /// Cost of unloading a model, or none where it must stay.
+    /// Cost of unloading a model, or `None` if it must stay.
     fn eviction_cost(&self, now: u64, record: &ModelRecord, reason: PlacementReason) -> Option<f64> {
         if record.phase != Phase::Resident {
             return None;
@@ -112,35 +112,37 @@
         if replicas > 1 {
             let load = demand.map_or(0.0, |demand| demand.slots);
             let anticipated = self.anticipated.get(&record.model).copied().unwrap_or(0);
-            let unknown = if self.is_demand_known(now) { 0 } else { replicas };
-            let keep = demand.map_or(0, |demand| demand.max_replicas).max(anticipated).max(unknown);
+            let before_known = if self.is_demand_known(now) { 0 } else { replicas };
+            let max_replicas =
+                demand.map_or(0, |demand| demand.max_replicas).max(anticipated).max(before_known);
             let adapter_replicas = demand.map_or(0, |demand| demand.adapter_replicas);
-            let cost = self.replica_eviction_cost(replicas, load, keep, reason);
+            let cost = self.replica_eviction_cost(replicas, load, max_replicas, reason);
             return cost.filter(|_| replicas > adapter_replicas);
         }
-        let expected = if self.is_anticipated(record.model) { cost::ANTICIPATED } else { 0.0 };
+        let surcharge = if self.is_anticipated(record.model) { cost::ANTICIPATED } else { 0.0 };
         let (Some(demand), Some(idle)) = (demand, idle) else {
-            return Some(self.unrequested_eviction_cost(rank) + expected);
+            return Some(self.unrequested_eviction_cost(rank) + surcharge);
         };
         let recently_loaded = record.since.is_some_and(|since| now.saturating_sub(since) < MIN_RESIDENCY_MS);
         if recently_loaded {
             return None;
         }
         let sole_replica = SoleReplica::new(demand, idle, entry.spec.load_ms);
-        sole_replica.cost(reason).map(|cost| cost + expected)
+        sole_replica.cost(reason).map(|cost| cost + surcharge)
     }
 
-    /// Whether a model should have copies because of its busy predecessors in the operator's list.
+    /// Whether a model should have replicas because its predecessors in the operator's list are busy.
     fn is_anticipated(&self, model: ModelIndex) -> bool {
         self.anticipated.get(&model).is_some_and(|replicas| *replicas > 0)
     }
 
-    /// Whether demand has been told for long enough to judge copies by it. Before, the operator's own are kept.
+    /// Whether demand has been reported for long enough to judge replicas by it. Until then, replicas that the operator
+    /// loaded are kept.
     fn is_demand_known(&self, now: u64) -> bool {
         self.first_demand_at.is_some_and(|first| now >= first + DEMAND_KNOWN_AFTER_MS)
     }
 
-    /// Models never asked for: those late in the operator's list go first.
+    /// Cost of a model that was never requested: models late in the operator's list are evicted first.
     fn unrequested_eviction_cost(&self, rank: usize) -> f64 {
         let share = rank as f64 / self.engine.models.len().max(1) as f64;
         cost::LONG_IDLE + cost::LONG_IDLE_RANGE * (1.0 - share)
@@ -150,15 +152,16 @@
         &self,
         replicas: usize,
         load: f64,
-        keep: usize,
+        max_replicas: usize,
         reason: PlacementReason,
     ) -> Option<f64> {
         let slots = f64::from(self.engine.slots.max(1));
         let load_after = load / (replicas - 1) as f64 / slots;
-        if replicas > keep {
+        if replicas > max_replicas {
             return Some(cost::SURPLUS + cost::LONG_IDLE * load_after);
         }
-        // Filled further, the remaining copies would call for another at once, and the two would give way in turn.
+        // Above the target occupancy the remaining replicas would trigger another load at once, and loads and evictions
+        // would alternate.
         let within_target = match reason {
             PlacementReason::Missing { .. } | PlacementReason::Overloaded { .. } => {
                 load_after <= self.settings.wanted_occupancy
@@ -169,7 +172,7 @@
     }
 }
 
-/// What room for a load may cost at the most.
+/// Upper limit of the eviction cost for a load.
 fn max_eviction_cost(reason: PlacementReason) -> f64 {
     match reason {
         PlacementReason::Missing { pressure } => limit::MISSING + limit::MISSING_PER_REQUEST * pressure,
@@ -178,12 +181,12 @@
     }
 }
 
-/// The only copy of a model that has been asked for.
+/// The only replica of a model that has been requested.
 struct SoleReplica {
     idle_ms: u64,
-    /// Requests that will arrive during a reload if demand stays as it has been lately.
-    missed: f64,
-    /// What these are worth, as delay.
+    /// Requests that will arrive during a reload at the recent rate.
+    missed_requests: f64,
+    /// Cost of such requests, in milliseconds of delay.
     missed_cost: f64,
 }
 
@@ -192,7 +195,11 @@
         let load_s = load_ms as f64 / 1_000.0;
         let urgent = demand.latency_target_ms < load_ms;
         let each = if urgent { cost::MISSED_URGENT } else { cost::MISSED_PATIENT };
-        Self { idle_ms, missed: demand.slow_rate * load_s, missed_cost: demand.popularity * load_s * each }
+        Self {
+            idle_ms,
+            missed_requests: demand.slow_rate * load_s,
+            missed_cost: demand.popularity * load_s * each,
+        }
     }
 
     fn cost(&self, reason: PlacementReason) -> Option<f64> {
@@ -208,7 +215,7 @@
         if self.idle_ms >= SHORT_IDLE_MS {
             return Some(cost::SHORT_IDLE + self.missed_cost);
         }
-        let outweighs = pressure > IN_USE_EVICTION_RATIO * self.missed + 1.0;
+        let outweighs = pressure > IN_USE_EVICTION_RATIO * self.missed_requests + 1.0;
         outweighs.then_some(cost::IN_USE + self.missed_cost)
     }
 }
--- a/crates/placement/src/policy/missing.rs
+++ b/crates/placement/src/policy/missing.rs
@@ -1,4 +1,4 @@
-//! Models and adapters that requests wait for and no worker holds.
+//! Models and adapters that requests wait for and no worker serves.
 
 use std::collections::BTreeMap;
 
@@ -10,26 +10,26 @@
 use crate::served_reports::ReportAnswer;
 use crate::worker::{OrderPhase, Step, WorkerKey};
 
-/// A want that nobody has repeated for this long is dropped unless its model is on its way, in milliseconds.
+/// An entry that has not been reported for this long is dropped unless a load of its model is pending, in milliseconds.
 const EXPIRY_MS: u64 = 3_000;
-/// Wants tried in one round; bounds the work of a round.
+/// Placement attempts per round; bounds the work of a round.
 const ATTEMPTS_PER_ROUND: usize = 32;
-/// Of these, wants that are tried because their turn has come, where there are more than can be tried. By rank alone,
-/// wants that can't be placed would keep all others from being tried at all.
+/// Attempts per round that are given out in rotation when there are more entries than attempts. With ranking alone,
+/// high-ranked entries that cannot be placed would starve all others.
 const ROTATED_ATTEMPTS: usize = ATTEMPTS_PER_ROUND / 2;
-/// Change of an expected time that is worth telling unasked, in milliseconds.
+/// Change of an estimate that is announced without a new report, in milliseconds.
 const ANNOUNCED_CHANGE_MS: u64 = 500;
-/// The same when requests for it have just been reported, in milliseconds.
+/// Change of an estimate that is announced in answer to a report, in milliseconds.
 const ANNOUNCED_CHANGE_ON_REPORT_MS: u64 = 100;
-/// An expected time that is asked for again this long after it was told is told once more, changed or not, in
-/// milliseconds: gatekeepers start, and messages to them may be lost.
+/// Age after which an announced estimate is repeated in answer to a report even if it is unchanged, in milliseconds:
+/// a data plane may have started since, or the message to it may have been lost.
 const REANNOUNCE_MS: u64 = 1_000;
-/// What a second of waiting adds to the number of requests that wait.
+/// Added to the number of waiting requests for each second of waiting.
 const PRESSURE_PER_SECOND: f64 = 0.5;
-/// Urgency of a request with an aim of this length is that of the bare count, in milliseconds.
+/// Latency target at which the urgency term of the rank equals 1, in milliseconds.
 const REFERENCE_LATENCY_TARGET_MS: f64 = 1_000.0;
 
-/// A model, or an adapter of it, that requests need.
+/// A model, or one of its adapters, as the unit that requests need.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServableId {
     pub(crate) model: ModelIndex,
@@ -45,48 +45,48 @@
     announced: Option<AnnouncedEstimate>,
 }
 
-/// What all gatekeepers were last told of a want.
+/// Estimate last announced to all data planes.
 #[derive(Debug, Clone, Copy)]
 struct AnnouncedEstimate {
-    /// When it should stand; none if nothing was planned.
+    /// When it should be served; `None` if nothing was planned.
     ready_at: Option<u64>,
     announced_at: u64,
 }
 
-/// All wants, by model and adapter.
+/// All missing models and adapters.
 #[derive(Debug, Default)]
 pub(crate) struct MissingTable {
     entries: BTreeMap<ServableId, MissingEntry>,
-    /// Models wanted that the last round found no worker or token for.
+    /// Models that could not be planned in the last round.
     unplanned: usize,
-    /// The want that was last tried because its turn had come.
+    /// The last entry that was attempted in rotation.
     last_in_rotation: Option<ServableId>,
 }
 
 impl MissingTable {
-    /// Drops the wants of models the filter rejects.
+    /// Keeps only the entries of models that the filter accepts.
     pub(crate) fn retain_models(&mut self, mut keep: impl FnMut(ModelIndex) -> bool) {
         self.entries.retain(|servable, _| keep(servable.model));
     }
 
-    /// Requests that wait for a want, and more for each second since the first came, so that everything has its turn.
+    /// Number of waiting requests, increased with the time since the first report so that no entry starves.
     fn pressure(&self, now: u64, servable: &ServableId) -> f64 {
         self.entries
             .get(servable)
             .map_or(0.0, |entry| f64::from(entry.waiting) + entry.age_s(now) * PRESSURE_PER_SECOND)
     }
 
-    /// Number of wants.
+    /// Number of entries.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Time since requests first asked for a want, in milliseconds.
+    /// Time since the first report, in milliseconds.
     fn waited_ms(&self, now: u64, servable: &ServableId) -> u64 {
         self.entries.get(servable).map_or(0, |entry| now.saturating_sub(entry.first_at))
     }
 
-    /// Requests that wait for any adapter of a model.
+    /// Sum of the pressure over all adapters of a model.
     fn adapter_pressure(&self, now: u64, model: ModelIndex) -> f64 {
         let of_model = self.entries.range(ServableId { model, adapter: None }..);
         let servables =
@@ -97,7 +97,7 @@
             .sum()
     }
 
-    fn note(&mut self, now: u64, servable: &ServableId, waiting: u32, latency_target_ms: u64) {
+    fn record(&mut self, now: u64, servable: &ServableId, waiting: u32, latency_target_ms: u64) {
         let entry = self.entries.entry(servable.clone()).or_insert(MissingEntry {
             waiting: 0,
             latency_target_ms: u64::MAX,
@@ -110,32 +110,32 @@
         entry.last_at = now;
     }
 
-    /// Wants whose requests have waited so long that copies of other models give way, in the order in which they are
-    /// tried.
+    /// Entries that have waited long enough to take precedence over replicas of other models, by rank.
     fn overdue(&self, now: u64) -> Vec<ServableId> {
         let mut ranked = self.ranked(now);
         ranked.retain(|servable| self.waited_ms(now, servable) >= OVERDUE_MS);
         ranked
     }
 
-    /// Which of some wants, given by rank, are tried in this round, in this order: the first by rank, then those whose turn
-    /// it is.
-    fn tried(&mut self, ranked: Vec<ServableId>) -> Vec<ServableId> {
+    /// Selects the entries to attempt in this round from a ranked list: the highest-ranked ones, then the next ones in
+    /// rotation.
+    fn select_for_round(&mut self, ranked: Vec<ServableId>) -> Vec<ServableId> {
         if ranked.len() <= ATTEMPTS_PER_ROUND {
             return ranked;
         }
-        let mut tried = ranked;
-        let mut others = tried.split_off(ATTEMPTS_PER_ROUND - ROTATED_ATTEMPTS);
+        let mut selected = ranked;
+        let mut others = selected.split_off(ATTEMPTS_PER_ROUND - ROTATED_ATTEMPTS);
         others.sort_unstable();
         let first = others.partition_point(|servable| Some(servable) <= self.last_in_rotation.as_ref());
         others.rotate_left(first);
         others.truncate(ROTATED_ATTEMPTS);
         self.last_in_rotation = others.last().cloned();
-        tried.extend(others);
-        tried
+        selected.extend(others);
+        selected
     }
 
-    /// Wants in the order in which they are tried: adapters, which are cheap, then by number waiting, aim and age.
+    /// Entries in the order of attempts: adapters first, since they are cheap to load, then by number of waiting
+    /// requests, latency target and age.
     fn ranked(&self, now: u64) -> Vec<ServableId> {
         let mut ranked: Vec<(bool, f64, &ServableId)> = self
             .entries
@@ -148,7 +148,7 @@
 }
 
 impl AnnouncedEstimate {
-    /// Whether a time to stand differs by more than `threshold_ms` from the one told.
+    /// Whether a ready time differs by more than `threshold_ms` from the announced one.
     fn differs(&self, ready_at: Option<u64>, threshold_ms: u64) -> bool {
         match (self.ready_at, ready_at) {
             (Some(announced), Some(ready_at)) => announced.abs_diff(ready_at) > threshold_ms,
@@ -169,7 +169,7 @@
 }
 
 impl Planner {
-    /// Takes note of requests that wait, and plans for them at once if it can.
+    /// Handles a report of waiting requests, and plans the load at once if possible.
     pub(crate) fn handle_missing(
         &mut self,
         now: u64,
@@ -191,7 +191,7 @@
             self.answer_served(now, &servable);
             return;
         }
-        self.missing.note(now, &servable, waiting, latency_target_ms);
+        self.missing.record(now, &servable, waiting, latency_target_ms);
         if !self.must_wait_for_round(&servable) {
             self.try_place(now, &servable);
         }
@@ -202,9 +202,9 @@
         self.announce_on_report(now, &servable);
     }
 
-    /// Answers a report of something that stands.
+    /// Answers a report of something that is served already.
     fn answer_served(&mut self, now: u64, servable: &ServableId) {
-        let answer = self.served_reports.note(now, servable);
+        let answer = self.served_reports.record(now, servable);
         if answer != ReportAnswer::AlreadyAnnounced {
             self.announce_estimate(servable, Some(0));
         }
@@ -213,29 +213,29 @@
         }
     }
 
-    /// Drops what stands or nobody asks for any more.
+    /// Drops entries that are served by now or are no longer requested.
     pub(crate) fn drop_resolved(&mut self, now: u64) {
-        self.served_reports.forget(now);
+        self.served_reports.drop_expired(now);
         let servables: Vec<ServableId> = self.missing.entries.keys().cloned().collect();
         for servable in servables {
             let silent = now.saturating_sub(self.missing.entries[&servable].last_at) > EXPIRY_MS;
-            let forgotten = silent && self.replicas_of(servable.model).pending.is_empty();
-            let serves = self.is_served(&servable);
-            if forgotten || serves {
-                self.counters.expired += u32::from(!serves);
+            let expired = silent && self.replicas_of(servable.model).pending.is_empty();
+            let is_served = self.is_served(&servable);
+            if expired || is_served {
+                self.counters.expired += u32::from(!is_served);
                 self.missing.entries.remove(&servable);
             }
         }
     }
 
-    /// Plans one overdue model that stands nowhere, if copies of other models have had their loads.
+    /// Plans one overdue model that has no replica, if it is the turn of missing models.
     pub(crate) fn place_overdue(&mut self, now: u64) {
         if !self.turns.is_missing_models_turn() {
             return;
         }
         let mut overdue = self.missing.overdue(now);
         overdue.retain(|servable| self.replicas_of(servable.model).count() == 0);
-        for servable in self.missing.tried(overdue) {
+        for servable in self.missing.select_for_round(overdue) {
             self.try_place(now, &servable);
             if self.replicas_of(servable.model).count() > 0 {
                 return;
@@ -243,12 +243,12 @@
         }
     }
 
-    /// Tries to plan what is missing, by rank.
+    /// Attempts to plan missing models and adapters, by rank.
     pub(crate) fn place_missing(&mut self, now: u64) {
         let ranked = self.missing.ranked(now);
         let unplanned = ranked.iter().filter(|servable| !self.is_planned(servable)).cloned().collect();
         self.missing.unplanned = 0;
-        for servable in self.missing.tried(unplanned) {
+        for servable in self.missing.select_for_round(unplanned) {
             if self.is_planned(&servable) {
                 continue;
             }
@@ -260,12 +260,13 @@
         }
     }
 
-    /// Whether a want has to be ranked with others that stand nowhere, instead of taking a worker that they wait for.
+    /// Whether a model without replicas must be ranked against others in the next round instead of taking at once a
+    /// worker that they wait for.
     fn must_wait_for_round(&mut self, servable: &ServableId) -> bool {
         self.missing.unplanned > 0 && self.replicas_of(servable.model).count() == 0
     }
 
-    /// Whether nothing more can be planned for a want: it comes, or its model has to come first.
+    /// Whether nothing more can be planned: the load is pending, or an adapter has to wait for its model.
     fn is_planned(&mut self, servable: &ServableId) -> bool {
         let replicas = self.replicas_of(servable.model);
         if replicas.serving.is_empty() {
@@ -283,18 +284,18 @@
             self.place_model(now, servable.model, PlacementReason::Missing { pressure });
             return;
         }
-        let (serves, comes) = (!replicas.serving.is_empty(), !replicas.pending.is_empty());
-        let Some(adapter) = servable.adapter.as_deref().filter(|_| serves) else { return };
+        let (is_serving, is_pending) = (!replicas.serving.is_empty(), !replicas.pending.is_empty());
+        let Some(adapter) = servable.adapter.as_deref().filter(|_| is_serving) else { return };
         let waited_ms = self.missing.waited_ms(now, servable);
         let placed = self.place_adapter(now, servable.model, adapter, waited_ms);
-        if !placed && !comes && self.lacks_adapter_slots(now, servable.model) {
+        if !placed && !is_pending && self.lacks_adapter_slots(now, servable.model) {
             let pressure = self.missing.adapter_pressure(now, servable.model);
             self.place_model(now, servable.model, PlacementReason::Missing { pressure });
         }
     }
 
-    /// Answers a report of requests. The answer goes to all gatekeepers, and many of them report the same want within
-    /// a short time: what they were told a moment ago is not said again.
+    /// Answers a report of waiting requests. The answer goes to all data planes, and many of them report the same model
+    /// within a short time, so an estimate that was announced recently is not repeated.
     fn announce_on_report(&mut self, now: u64, servable: &ServableId) {
         let Some(entry) = self.missing.entries.get_mut(servable) else { return };
         if entry
@@ -306,7 +307,7 @@
         self.announce_if_changed(now, servable, ANNOUNCED_CHANGE_ON_REPORT_MS);
     }
 
-    /// Tells when a want should stand, if that differs by more than `threshold_ms` from what was told.
+    /// Announces the current estimate if it differs by more than `threshold_ms` from the last one announced.
     fn announce_if_changed(&mut self, now: u64, servable: &ServableId, threshold_ms: u64) {
         let expected = self.estimate_ready_in(now, servable);
         let Some(entry) = self.missing.entries.get_mut(servable) else { return };
@@ -323,7 +324,8 @@
         self.outputs.push(Output::ReadyEstimate { model, adapter: servable.adapter.clone(), ready_in_ms });
     }
 
-    /// Time until a want should stand, in milliseconds, or none if nothing is planned for want of room.
+    /// Estimated time until something is served, in milliseconds, or `None` if nothing is planned and the store is not
+    /// what prevents it.
     fn estimate_ready_in(&mut self, now: u64, servable: &ServableId) -> Option<u64> {
         let replicas = self.replicas_of(servable.model);
         let (serving, pending) = (replicas.serving.clone(), replicas.pending.clone());
@@ -334,7 +336,7 @@
         serving.iter().chain(pending.iter()).filter_map(on_worker).min()
     }
 
-    /// Nothing is planned: if only the store's rate is in the way, it is a matter of time.
+    /// Estimate for a model that is not planned: known only if the store's rate limit is what prevents the load.
     fn estimate_from_store(&self, now: u64, model: ModelIndex) -> Option<u64> {
         if self.store_allows(now) {
             return None;
@@ -345,22 +347,22 @@
 
     fn estimate_on_worker(&self, now: u64, key: WorkerKey, servable: &ServableId) -> Option<u64> {
         let worker = &self.workers[key];
-        let is_it = |step: &Step| {
+        let provides = |step: &Step| {
             step.model == servable.model && (step.adapter == servable.adapter || step.adapter.is_none())
         };
         let mut wait = 0;
         if let Some(order) = &worker.order {
             wait = order.done_at.max(now) - now + self.settings.report_lag_ms;
-            if order.phase == OrderPhase::Accepted && is_it(&order.step) {
+            if order.phase == OrderPhase::Accepted && provides(&order.step) {
                 return Some(wait);
             }
         }
         for step in &worker.plan {
             wait += self.confirmed_after_ms(key, step);
-            if is_it(step) {
+            if provides(step) {
                 return Some(wait);
             }
         }
-        worker.order.as_ref().filter(|order| is_it(&order.step)).map(|_| wait)
+        worker.order.as_ref().filter(|order| provides(&order.step)).map(|_| wait)
     }
 }
--- a/crates/placement/src/policy/mod.rs
+++ b/crates/placement/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! What is loaded where: what is missing, copies for demand, and what gives way.
+//! Placement policy: loads of missing models and adapters, replicas in proportion to demand, and evictions.
 
 mod adapter_placement;
 mod anticipation;
--- a/crates/placement/src/policy/model_placement.rs
+++ b/crates/placement/src/policy/model_placement.rs
@@ -1,4 +1,4 @@
-//! Which worker gets a model.
+//! Selection of the worker on which a model is loaded.
 
 use std::collections::BTreeMap;
 
@@ -13,47 +13,47 @@
 /// Why a model is to be loaded.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum PlacementReason {
-    /// Requests wait for it and no worker holds it.
+    /// Requests wait for it and no worker serves it, or its replicas have too few adapter slots.
     Missing {
-        /// How many wait, more for each second since the first came.
+        /// Number of waiting requests, increased with their waiting time.
         pressure: f64,
     },
-    /// Its copies are crowded, or soon will be.
+    /// Its replicas are overloaded, or soon will be.
     Overloaded {
-        /// Requests beyond what the copies should run.
+        /// Requests beyond what the replicas should run.
         excess: f64,
     },
-    /// Demand calls for another copy.
+    /// Demand requires another replica.
     Growth,
-    /// Demand may call for a copy soon.
+    /// Demand may require a replica soon.
     Anticipated,
 }
 
-/// How far ahead the store's tokens are counted when a load is planned: about the time an unload takes, in
-/// milliseconds.
+/// Horizon within which upcoming store tokens count as available when a load is planned, in milliseconds: about the
+/// time that an unload takes.
 const STORE_LOOKAHEAD_MS: u64 = 300;
-/// Tokens that copies for growth or ahead of demand leave for models that are missing.
+/// Tokens that loads for growth or ahead of demand leave to missing models.
 const TOKENS_RESERVED_FOR_MISSING: f64 = 1.0;
-/// Cost of a busy worker, in milliseconds of delay for one whose slots are all in use.
+/// Cost of a worker whose slots are all in use, in milliseconds of delay; proportional to the load.
 const LOAD_COST_MS: f64 = 2_000.0;
-/// Cost of a zone for each copy that stands there already, in milliseconds of delay.
+/// Cost of a zone for each replica already in it, in milliseconds of delay.
 const ZONE_COST_MS: f64 = 500.0;
-/// Advantage of a worker that probably held the model before its restart, in milliseconds.
+/// Credit for a worker that probably has the model on its disk from before a restart, in milliseconds of delay.
 const PROBABLE_DISK_GAIN_MS: f64 = 1_500.0;
-/// Cost of a worker for each adapter in use on it, in milliseconds of delay: it takes no order about adapters while it
+/// Cost of a worker for each adapter in use on it, in milliseconds of delay: it accepts no adapter orders while it
 /// loads a model.
 const ADAPTER_COST_MS: f64 = 60.0;
-/// An adapter asked for within this time is in use, in milliseconds.
+/// Time since the last request within which an adapter counts as in use, in milliseconds.
 const ADAPTER_IN_USE_MS: u64 = 5_000;
-/// Workers on which room for one load is looked for. Bounds the work of a try in a fleet of any size.
+/// Maximum number of workers evaluated for one load. Bounds the work of an attempt regardless of the fleet's size.
 const MAX_CANDIDATES: usize = 64;
-/// Range of the random part that settles ties, in milliseconds.
+/// Range of the random term that breaks ties, in milliseconds.
 const TIE_BREAK_MS: f64 = 20.0;
 
 impl Planner {
     /// Plans a load of a model on the best worker. Returns whether there was one.
     pub(crate) fn place_model(&mut self, now: u64, model: ModelIndex, reason: PlacementReason) -> bool {
-        let kept = match reason {
+        let reserved = match reason {
             PlacementReason::Overloaded { .. } => 0.0,
             PlacementReason::Missing { .. } if self.turns.is_missing_models_turn() => 0.0,
             PlacementReason::Missing { .. } => self.tokens_reserved_for_overloaded,
@@ -61,7 +61,7 @@
                 self.tokens_reserved_for_overloaded + TOKENS_RESERVED_FOR_MISSING
             }
         };
-        let store_open = self.spare_tokens(now) >= 1.0 + kept;
+        let store_open = self.spare_tokens(now) >= 1.0 + reserved;
         let zones = self.replicas_by_zone(model);
         let mut best: Option<(f64, WorkerKey, Victims)> = None;
         let candidates = match self.candidate_workers(now, model, store_open) {
@@ -88,8 +88,8 @@
         true
     }
 
-    /// Workers on which room for a load is looked for, or what all of them lack. In a large fleet they are drawn by chance:
-    /// the best of some dozens is nearly as good as the best of all, and another try draws others.
+    /// Workers to evaluate for a load, or why there are none. In a large fleet they are sampled at random: the best of
+    /// a few dozen is nearly as good as the best of all, and the next attempt samples others.
     fn candidate_workers(
         &mut self,
         now: u64,
@@ -107,19 +107,19 @@
         if !store_open {
             others.clear();
         }
-        let drawn = MAX_CANDIDATES.saturating_sub(candidates.len()).min(others.len());
-        if drawn < others.len() {
+        let sampled = MAX_CANDIDATES.saturating_sub(candidates.len()).min(others.len());
+        if sampled < others.len() {
             let count = others.len();
-            (0..drawn).for_each(|place| others.swap(place, self.random.usize(place..count)));
+            (0..sampled).for_each(|place| others.swap(place, self.random.usize(place..count)));
         }
-        candidates.extend(others.into_iter().take(drawn));
+        candidates.extend(others.into_iter().take(sampled));
         match candidates.is_empty() {
             true => Err(PlacementFailure::StoreRateExceeded),
             false => Ok(candidates),
         }
     }
 
-    /// Counts a load about to be planned as the turn of a missing model or as one of a copy.
+    /// Counts a load about to be planned towards the turns of missing models and of replicas.
     fn count_planned_load(&mut self, key: WorkerKey, model: ModelIndex, reason: PlacementReason) {
         let has_no_replica = self.replicas_of(model).count() == 0;
         match reason {
@@ -135,20 +135,21 @@
         }
     }
 
-    /// Whether the store has a token for one more load, beside those planned.
+    /// Whether the store has a token for one more load in addition to the planned ones.
     pub(crate) fn store_allows(&self, now: u64) -> bool {
         self.spare_tokens(now) >= 1.0
     }
 
-    /// Loads from the store that are planned and not sent, and will be sent as soon as their tokens come. Those behind
-    /// an unload that waits for running requests are left out: they may wait for seconds, and the store for nobody.
+    /// Planned loads from the store that will be sent as soon as a token is available. Loads behind an unload that
+    /// waits for running requests are left out: they may be delayed for seconds, and reserving tokens for them would
+    /// leave the store idle.
     pub(crate) fn pending_store_loads(&self, now: u64) -> usize {
-        let draws = |key: &WorkerKey| {
+        let needs_token = |key: &WorkerKey| {
             let worker = &self.workers[*key];
             !worker.unload_waits_for_requests(now, self.settings.report_lag_ms)
                 && worker.plan.iter().any(|step| self.uses_store(*key, step))
         };
-        self.active_workers.iter().filter(|key| draws(key)).count()
+        self.active_workers.iter().filter(|key| needs_token(key)).count()
     }
 
     fn spare_tokens(&self, now: u64) -> f64 {
@@ -171,7 +172,7 @@
         zones
     }
 
-    /// Delay until the copy is of use, with the other drawbacks of a worker expressed as delay; in milliseconds.
+    /// Delay until the replica can serve, plus the other costs of the worker expressed as delay; in milliseconds.
     fn placement_cost_ms(
         &mut self,
         now: u64,
--- a/crates/placement/src/policy/rebalancing.rs
+++ b/crates/placement/src/policy/rebalancing.rs
@@ -1,19 +1,19 @@
-//! Further copies of what the most loaded workers hold.
+//! Additional replicas of models on the most loaded worker.
 
 use crate::catalogue::ModelIndex;
 use crate::planner::Planner;
 use crate::policy::model_placement::PlacementReason;
 use crate::worker::WorkerKey;
 
-/// Load from which a worker is relieved, as a share of its slots or memory.
+/// Load above which a worker is relieved, as a share of its slots or KV memory.
 const HIGH_LOAD: f64 = 0.5;
-/// How many times the mean load a worker may have.
+/// Ratio to the mean load above which a worker is relieved.
 const IMBALANCE: f64 = 1.5;
-/// Time that a copy loaded elsewhere is given to take its effect, in milliseconds, beside its load.
+/// Time after the load of a new replica before the worker is relieved again, in milliseconds.
 const SETTLE_MS: u64 = 3_000;
 
 impl Planner {
-    /// Plans one more copy of the busiest model of the most loaded worker, if that has far more to do than the mean.
+    /// Plans one more replica of the busiest model on the most loaded worker, if its load is far above the mean.
     pub(crate) fn relieve_most_overloaded(&mut self, now: u64) {
         let Some(key) = self.most_overloaded_worker(now) else { return };
         let Some(model) = self.busiest_model(key) else { return };
@@ -34,7 +34,7 @@
         (load > HIGH_LOAD && load > IMBALANCE * mean).then_some(key)
     }
 
-    /// The model on a worker with the most load a copy, if none of its copies is still to come.
+    /// The model on a worker with the highest load per replica, among those without a pending replica.
     fn busiest_model(&self, key: WorkerKey) -> Option<ModelIndex> {
         let worker = &self.workers[key];
         let load_per_replica = |model: ModelIndex| {
--- a/crates/placement/src/policy/replica_scaling.rs
+++ b/crates/placement/src/policy/replica_scaling.rs
@@ -1,28 +1,28 @@
-//! Copies of models and adapters in proportion to demand.
+//! Replicas of models and adapters in proportion to demand.
 
 use crate::catalogue::ModelIndex;
 use crate::planner::Planner;
 use crate::policy::model_placement::PlacementReason;
 use crate::worker::WorkerKey;
 
-/// Share of a worker's slots below which a copy is surplus.
+/// Occupancy per replica below which replicas count as surplus, as a share of a worker's slots.
 const SURPLUS_OCCUPANCY: f64 = 0.15;
-/// Requests a second from which a model should stand on two workers, so that the loss of one stops nothing.
+/// Requests per second from which an urgent model gets a second replica, so that it survives the loss of one worker.
 const REDUNDANCY_RATE: f64 = 2.0;
-/// A model asked for within this time is planned at once when its last holder is lost, in milliseconds.
+/// A model requested within this time is reloaded at once when its last replica is lost, in milliseconds.
 const RECENT_MS: u64 = 5_000;
-/// Adapters asked for within this time count as active, in milliseconds.
+/// Time since the last request within which an adapter counts as active, in milliseconds.
 const ACTIVE_ADAPTER_MS: u64 = 10_000;
-/// Active adapters for each slot of the holders of a model, beyond which another copy of the model is wanted. Below 1, so
-/// that one asked for next finds a slot, and does not wait until another adapter is idle.
+/// Active adapters per adapter slot above which a model gets another replica. Below 1, so that the next adapter
+/// requested finds a free slot instead of waiting until another adapter is idle.
 const ADAPTERS_PER_SLOT: f64 = 0.8;
-/// Share of a worker's slots that requests for one adapter should occupy at most.
+/// Maximum share of a worker's slots that requests for one adapter should occupy.
 const ADAPTER_OCCUPANCY: f64 = 0.2;
-/// Copies planned in one round; bounds the work of a round.
+/// Replicas planned per round; bounds the work of a round.
 const PLANS_PER_ROUND: usize = 4;
 
 impl Planner {
-    /// Samples the demand of all active models and sets how many copies each should have.
+    /// Samples the demand of all active models and updates how many replicas each should have.
     pub(crate) fn sample_demand(&mut self, now: u64) {
         self.demand.retain(|_, demand| !demand.is_expired(now));
         let ready = self.workers.values().filter(|worker| worker.is_ready()).count();
@@ -40,12 +40,12 @@
             let redundant_replicas = if urgent && demand.slow_rate >= REDUNDANCY_RATE { 2 } else { 0 };
             demand.adapter_replicas = adapter_replicas;
             demand.target_replicas = load_replicas.max(adapter_replicas).max(redundant_replicas).min(ready);
-            let kept = (demand.peak_slots / (slots * SURPLUS_OCCUPANCY)).ceil() as usize;
-            demand.max_replicas = kept.max(demand.target_replicas);
+            let without_surplus = (demand.peak_slots / (slots * SURPLUS_OCCUPANCY)).ceil() as usize;
+            demand.max_replicas = without_surplus.max(demand.target_replicas);
         }
     }
 
-    /// Plans copies for models that have fewer than they should, those with the most load per copy first.
+    /// Plans replicas of models that are below their target, those with the highest load per replica first.
     pub(crate) fn add_replicas(&mut self, now: u64) {
         let models: Vec<ModelIndex> = self.demand.keys().copied().collect();
         let mut short: Vec<(f64, ModelIndex, PlacementReason)> = Vec::new();
@@ -61,28 +61,29 @@
         self.add_adapter_replicas(now);
     }
 
-    /// Plans copies for crowded models, those with the most load a copy first, as far as the store and room allow.
+    /// Plans replicas of overloaded models, those with the highest load per replica first, as far as store tokens and
+    /// memory allow.
     pub(crate) fn add_replicas_of_overloaded(&mut self, now: u64) {
         let slots = f64::from(self.engine.slots.max(1));
         let models: Vec<ModelIndex> = self.demand.keys().copied().collect();
-        let mut crowded: Vec<(f64, ModelIndex, f64)> = Vec::new();
+        let mut overloaded: Vec<(f64, ModelIndex, f64)> = Vec::new();
         for model in models {
             let replicas = self.replicas_of(model).count() as f64;
-            let ahead = self.demand[&model].forecast_slots;
-            let excess = ahead - replicas * slots * self.settings.crowded_occupancy;
+            let forecast = self.demand[&model].forecast_slots;
+            let excess = forecast - replicas * slots * self.settings.crowded_occupancy;
             if replicas > 0.0 && excess > 0.0 {
-                crowded.push((ahead / replicas, model, excess));
+                overloaded.push((forecast / replicas, model, excess));
             }
         }
-        crowded.sort_by(|left, right| right.0.total_cmp(&left.0));
-        let mut unserved = false;
-        for (_, model, excess) in crowded.into_iter().take(PLANS_PER_ROUND) {
-            unserved |= !self.place_model(now, model, PlacementReason::Overloaded { excess });
+        overloaded.sort_by(|left, right| right.0.total_cmp(&left.0));
+        let mut is_any_unplanned = false;
+        for (_, model, excess) in overloaded.into_iter().take(PLANS_PER_ROUND) {
+            is_any_unplanned |= !self.place_model(now, model, PlacementReason::Overloaded { excess });
         }
-        self.tokens_reserved_for_overloaded = if unserved { 1.0 } else { 0.0 };
+        self.tokens_reserved_for_overloaded = if is_any_unplanned { 1.0 } else { 0.0 };
     }
 
-    /// How badly a model lacks copies, and why, or none if it has enough.
+    /// Priority and reason of another replica of a model, or `None` if it has enough.
     fn replica_shortage(&mut self, now: u64, model: ModelIndex) -> Option<(f64, PlacementReason)> {
         self.catalogue.entry(model).rank?;
         let replicas = self.replicas_of(model).count();
@@ -96,26 +97,26 @@
         short.then(|| (demand.forecast_slots / replicas as f64, PlacementReason::Growth))
     }
 
-    /// Whether the holders of a model have too few adapter slots for the adapters in use.
+    /// Whether the replicas of a model have too few adapter slots for the active adapters.
     pub(crate) fn lacks_adapter_slots(&mut self, now: u64, model: ModelIndex) -> bool {
         let slots = self.replicas_of(model).count() * self.engine.adapter_slots as usize;
         let Some(demand) = self.demand.get(&model) else { return false };
         demand.adapters(now, ACTIVE_ADAPTER_MS).count() > slots
     }
 
-    /// Spreads adapters whose requests fill their holders.
+    /// Adds replicas of adapters whose requests occupy too much of the workers that hold them.
     fn add_adapter_replicas(&mut self, now: u64) {
-        let crowded = f64::from(self.engine.slots.max(1)) * ADAPTER_OCCUPANCY;
+        let max_slots = f64::from(self.engine.slots.max(1)) * ADAPTER_OCCUPANCY;
         let mut busy: Vec<(ModelIndex, String, f64)> = Vec::new();
         for (model, demand) in &self.demand {
-            let adapters = demand.adapters(now, RECENT_MS).filter(|(_, slots)| *slots > crowded);
+            let adapters = demand.adapters(now, RECENT_MS).filter(|(_, slots)| *slots > max_slots);
             busy.extend(adapters.map(|(name, slots)| (*model, name.to_owned(), slots)));
         }
         for (model, adapter, slots) in busy {
             let serving: Vec<WorkerKey> = self.replicas_of(model).serving.iter().copied().collect();
             let holds = |key: &&WorkerKey| self.workers[**key].has_adapter(model, &adapter);
             let replicas = serving.iter().filter(holds).count();
-            if replicas > 0 && slots / replicas as f64 > crowded {
+            if replicas > 0 && slots / replicas as f64 > max_slots {
                 self.replicate_adapter(now, model, &adapter, &serving);
             }
         }
--- a/crates/placement/src/served_reports.rs
+++ b/crates/placement/src/served_reports.rs
@@ -1,27 +1,27 @@
-//! Models that stand by the planner's record and are reported missing all the same.
+//! Reports of missing models that are served according to the planner's record.
 //!
-//! Right after a load such reports are on their way still. Where they go on, a gatekeeper has not heard that the model
-//! stands: messages to it may be lost while a machine between is frozen or cut off, and what workers hold is no part of
-//! the digests by which machines find out that they lack something.
+//! Such reports are still in flight right after a load. If they continue, a data plane does not know that the model is
+//! served: messages to it can be lost while a machine in between is frozen or partitioned, and what workers hold is not
+//! covered by the digests with which machines detect missed updates.
 
 use std::collections::BTreeMap;
 
 use crate::policy::ServableId;
 
-/// Reports that go on for this long show that somebody has not heard, in milliseconds: longer than a message takes to
-/// reach all gatekeepers, shorter than most objectives.
+/// Reports that continue for this long show that a data plane missed the announcement, in milliseconds: longer than a
+/// message takes to reach all data planes, shorter than most latency targets.
 const REANNOUNCE_AFTER_MS: u64 = 1_000;
-/// Reports that pause for longer than this are taken for new ones, in milliseconds.
+/// Reports after a pause longer than this count as a new series, in milliseconds.
 const EXPIRY_MS: u64 = 3_000;
 
-/// What a report of something that stands is answered with, to all gatekeepers.
+/// Answer to a report of something that is served already, sent to all data planes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReportAnswer {
-    /// Nothing: they were told a moment ago.
+    /// No answer: it was announced recently.
     AlreadyAnnounced,
-    /// That it stands.
+    /// That it is served.
     Served,
-    /// That it stands, and once more what the workers hold on which it does.
+    /// That it is served, and again the resident models of each worker that serves it.
     ServedAndHolders,
 }
 
@@ -31,23 +31,23 @@
     last_at: u64,
 }
 
-/// Reports of what stands, by model and adapter.
+/// Reports of what is served already, by model and adapter.
 #[derive(Debug, Default)]
 pub(crate) struct ServedReportTable {
     reports: BTreeMap<ServableId, Reports>,
 }
 
 impl ServedReportTable {
-    /// Takes note of a report and returns its answer.
-    pub(crate) fn note(&mut self, now: u64, servable: &ServableId) -> ReportAnswer {
+    /// Records a report and returns its answer.
+    pub(crate) fn record(&mut self, now: u64, servable: &ServableId) -> ReportAnswer {
         let Some(reports) = self.reports.get_mut(servable) else {
             self.reports.insert(servable.clone(), Reports { since: now, last_at: now });
             return ReportAnswer::Served;
         };
         let is_new = now.saturating_sub(reports.last_at) > EXPIRY_MS;
-        let is_unheard = now.saturating_sub(reports.since) >= REANNOUNCE_AFTER_MS;
+        let continues = now.saturating_sub(reports.since) >= REANNOUNCE_AFTER_MS;
         reports.last_at = now;
-        if !is_new && !is_unheard {
+        if !is_new && !continues {
             return ReportAnswer::AlreadyAnnounced;
         }
         reports.since = now;
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Forgets what nobody reports any more.
-    pub(crate) fn forget(&mut self, now: u64) {
+    /// Drops series of reports that have ended.
+    pub(crate) fn drop_expired(&mut self, now: u64) {
         self.reports.retain(|_, reports| now.saturating_sub(reports.last_at) <= EXPIRY_MS);
     }
 }
