--- a/crates/placement/src/catalogue.rs
+++ b/crates/placement/src/catalogue.rs
@@ -1,10 +1,10 @@
-//! Names of models and their compact indices.
+//! Model names and their compact indices.
 
 use std::collections::BTreeMap;
 
 use crate::settings::{Engine, ModelSpec};
 
-/// Index of a model, stable for the life of a planner.
+/// Index of a model, stable for the lifetime of a planner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ModelIndex(usize);
 
@@ -18,9 +18,8 @@
 /// A known model.
 #[derive(Debug, Clone)]
 pub(crate) struct CatalogueEntry {
-    /// Its specification.
     pub(crate) spec: ModelSpec,
-    /// Rank in the configuration, or none for a model that isn't configured (any more).
+    /// Position in the configuration, or `None` for a model that is not configured or no longer is.
     pub(crate) rank: Option<usize>,
 }
 
@@ -33,7 +32,7 @@
 }
 
 impl Catalogue {
-    /// Takes over a configuration. Models dropped from it stay known, since workers may still hold them.
+    /// Applies a configuration. Models removed from it keep their index, since workers may still hold them.
     pub(crate) fn update(&mut self, engine: &Engine) {
         self.worker_weights_mb = engine.weights_mb;
         for entry in &mut self.entries {
@@ -56,15 +55,15 @@
         self.entries[index.0].rank.map(|_| index)
     }
 
-    /// Whether a model has the adapter named, or none is named. Adapters are named `a1`, `a2` and so on.
+    /// Whether a model has the named adapter; true if none is named. Adapters are named `a1`, `a2` and so on.
     pub(crate) fn has_adapter(&self, model: ModelIndex, adapter: Option<&str>) -> bool {
         let Some(adapter) = adapter else { return true };
         let number = adapter.strip_prefix('a').and_then(|digits| digits.parse::<u32>().ok());
         number.is_some_and(|number| (1..=self.spec(model).adapters).contains(&number))
     }
 
-    /// Index of a model found on a worker. One never configured counts as filling a whole worker, as its size isn't
-    /// known.
+    /// Index of a model found on a worker; adds the model if necessary. A model that was never configured is assumed to
+    /// fill a whole worker, since its size is not known.
     pub(crate) fn intern(&mut self, name: &str) -> ModelIndex {
         if let Some(index) = self.by_name.get(name) {
             return *index;
@@ -79,17 +78,15 @@
         self.push(CatalogueEntry { spec, rank: None })
     }
 
-    /// The entry of a model.
     pub(crate) fn entry(&self, model: ModelIndex) -> &CatalogueEntry {
         &self.entries[model.0]
     }
 
-    /// The specification of a model.
     pub(crate) fn spec(&self, model: ModelIndex) -> &ModelSpec {
         &self.entries[model.0].spec
     }
 
-    /// Number of models known.
+    /// Number of known models, configured or not.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
--- a/crates/placement/src/counters.rs
+++ b/crates/placement/src/counters.rs
@@ -6,11 +6,11 @@
 /// counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PlacementFailure {
-    /// No free worker: each is loading a model, is unconfirmed or rejected the model recently.
+    /// No worker is free: each is loading a model, is unconfirmed or rejected the model recently.
     WorkersBusy,
-    /// No token of the weight store's rate limit.
+    /// The weight store has no token left.
     StoreRateExceeded,
-    /// No memory: the models in the way must not be evicted, or only at a higher cost than the load is worth.
+    /// Not enough memory: the models in the way must not be evicted, or only at a higher cost than the load is worth.
     OutOfMemory,
 }
 
@@ -20,7 +20,7 @@
     /// Reports of waiting requests for something that is served according to the planner's record: the reporting
     /// router does not know it yet.
     pub reports_while_served: u32,
-    /// Reports of waiting requests for something whose load is planned or under way.
+    /// Reports of waiting requests for something whose load is planned or in progress.
     pub reports_while_loading: u32,
     /// Reports of waiting requests for something that is not planned.
     pub reports_while_unplanned: u32,
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -1,38 +1,38 @@
-//! Demand per model and adapter, smoothed.
+//! Smoothed demand per model and adapter.
 
 use std::collections::BTreeMap;
 
-/// An entry older than this no longer counts towards the current demand, in milliseconds; gatekeepers tell theirs
-/// every 500 ms, so two may be lost.
+/// Age from which an entry no longer counts towards the current demand, in milliseconds. Data planes report every
+/// 500 ms, so two reports may be lost.
 const FRESH_MS: u64 = 1_600;
-/// Entries without demand for this long are forgotten, in milliseconds.
+/// Time without demand after which entries are dropped, in milliseconds.
 const EXPIRY_MS: u64 = 120_000;
-/// Weight of the newest sample (taken every 500 ms) in the quick average, which spans about a second.
+/// Weight of a sample, taken every 500 ms, in the fast average, which spans about 1 s.
 const FAST_WEIGHT: f64 = 0.5;
-/// Weight of the newest sample in the average of the rate that the newest rate is compared with: about three seconds.
+/// Weight of a sample in the medium average of the rate, which spans about 3 s and is the baseline for a rise.
 const MEDIUM_WEIGHT: f64 = 0.15;
-/// Difference in age of the newest rate (averaged over about a second) and that average, in seconds.
+/// Lag of the medium average behind the newest rate, which is itself an average over about 1 s, in seconds.
 const MEDIUM_LAG_S: f64 = 2.0;
-/// How far ahead demand is looked for, in seconds: a load from the store and the time to plan it.
+/// Forecast horizon, in seconds: the time to plan a load and to load from the store.
 const FORECAST_HORIZON_S: f64 = 3.5;
-/// Weight of the newest sample in the average time that a request occupies a slot.
+/// Weight of a sample in the average service time of a request.
 const SERVICE_WEIGHT: f64 = 0.2;
-/// Bounds of that time, in seconds.
+/// Bounds of the measured service time, in seconds.
 const SERVICE_BOUNDS_S: (f64, f64) = (0.2, 4.0);
-/// Rate in requests a second from which the time a request occupies a slot can be told.
+/// Rate from which the service time can be measured, in requests per second.
 const MIN_MEASURABLE_RATE: f64 = 1.0;
-/// Share of the highest recent load that is still counted one sample later when copies are judged surplus.
+/// Decay per sample of the peak load by which replicas are judged surplus.
 const PEAK_DECAY: f64 = 0.8;
-/// Rise that is put down to chance, as a multiple of the square root of the rate.
+/// Rise that is attributed to random fluctuation, as a multiple of the square root of the rate.
 const NOISE_FACTOR: f64 = 0.7;
-/// Weight of the newest sample in the slow average, which spans about ten seconds.
+/// Weight of a sample in the slow average, which spans about 10 s.
 const SLOW_WEIGHT: f64 = 0.05;
-/// Weight of the newest sample in the popularity, which spans about thirty seconds.
+/// Weight of a sample in the popularity, which spans about 30 s.
 const POPULARITY_WEIGHT: f64 = 0.017;
-/// Time a request is taken to occupy a slot where gatekeepers tell no outstanding requests, in seconds.
+/// Service time assumed while data planes report no outstanding requests, in seconds.
 const ASSUMED_SERVICE_S: f64 = 1.0;
 
-/// What one demand entry said last.
+/// Latest report of one demand entry.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Sample {
     pub(crate) requests_per_s: f64,
@@ -42,13 +42,13 @@
 }
 
 impl Sample {
-    /// Slots these requests occupy or would occupy.
+    /// Slots that these requests occupy or would occupy.
     fn slots(&self) -> f64 {
-        let held = f64::from(self.outstanding + self.waiting);
+        let in_progress = f64::from(self.outstanding + self.waiting);
         if self.outstanding > 0 {
-            return held;
+            return in_progress;
         }
-        held.max(self.requests_per_s * ASSUMED_SERVICE_S)
+        in_progress.max(self.requests_per_s * ASSUMED_SERVICE_S)
     }
 }
 
@@ -62,38 +62,39 @@
 /// Demand for one model over all its adapters.
 #[derive(Debug, Default)]
 pub(crate) struct ModelDemand {
-    /// By name of the adapter, which is empty for requests that name none.
+    /// By adapter name, which is empty for requests that name none.
     entries: BTreeMap<String, Entry>,
     requested_at: Option<u64>,
     samples: u32,
-    /// Requests a second, averaged over about ten seconds.
+    /// Requests per second, averaged over about 10 s.
     pub(crate) slow_rate: f64,
-    /// Requests a second, averaged over about thirty seconds.
+    /// Requests per second, averaged over about 30 s.
     pub(crate) popularity: f64,
-    /// Requests a second, averaged over about three seconds.
+    /// Requests per second, averaged over about 3 s.
     medium_rate: f64,
-    /// Time that a request occupies a slot, in seconds.
+    /// Service time of a request, in seconds.
     service_s: f64,
-    /// The highest slots of late, fading.
+    /// Decaying peak of the occupied slots.
     pub(crate) peak_slots: f64,
-    /// Slots occupied, averaged over about a second.
+    /// Occupied slots, averaged over about 1 s.
     pub(crate) slots: f64,
-    /// Slots that will be occupied a few seconds ahead if a rise beyond chance goes on.
+    /// Forecast of occupied slots if a rise beyond random fluctuation continues.
     pub(crate) forecast_slots: f64,
-    /// Smallest latency aim of current requests, in milliseconds.
+    /// Smallest latency target of current requests, in milliseconds.
     pub(crate) latency_target_ms: u64,
-    /// Copies needed so that the adapters in use find slots.
+    /// Replicas needed to provide slots for the active adapters.
     pub(crate) adapter_replicas: usize,
-    /// Copies below which another is loaded.
+    /// Number of replicas below which another is loaded.
     pub(crate) target_replicas: usize,
-    /// Copies beyond which one is surplus; at least the target, so that chance doesn't load and unload in turn.
+    /// Number of replicas above which one is surplus; at least the target, so that fluctuations do not alternately load
+    /// and unload.
     pub(crate) max_replicas: usize,
 }
 
 impl ModelDemand {
-    /// Takes in what gatekeepers tell of one adapter, or of the bare model.
+    /// Records the demand reported for one adapter, or for the model without an adapter.
     pub(crate) fn record_sample(&mut self, now: u64, adapter: Option<String>, sample: Sample) {
-        let wanted = sample.requests_per_s > 0.0 || sample.waiting > 0 || sample.outstanding > 0;
+        let has_demand = sample.requests_per_s > 0.0 || sample.waiting > 0 || sample.outstanding > 0;
         let entry = self.entries.entry(adapter.unwrap_or_default()).or_insert(Entry {
             sample: Sample::default(),
             reported_at: now,
@@ -101,13 +102,13 @@
         });
         entry.sample = sample;
         entry.reported_at = now;
-        if wanted {
+        if has_demand {
             entry.requested_at = now;
             self.requested_at = Some(now);
         }
     }
 
-    /// Notes that requests ask for the model or adapter now.
+    /// Records that requests need the model or adapter now.
     pub(crate) fn record_request(&mut self, now: u64, adapter: Option<String>) {
         self.requested_at = Some(now);
         let entry = self.entries.entry(adapter.unwrap_or_default()).or_insert(Entry {
@@ -118,18 +119,18 @@
         entry.requested_at = now;
     }
 
-    /// Milliseconds since requests last asked for the model, or none if they never did.
+    /// Time since the model was last requested, in milliseconds, or `None` if it never was.
     pub(crate) fn idle_ms(&self, now: u64) -> Option<u64> {
         self.requested_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Milliseconds since requests last asked for an adapter, or none if they never did.
+    /// Time since an adapter was last requested, in milliseconds, or `None` if it never was.
     pub(crate) fn adapter_idle_ms(&self, now: u64, adapter: &str) -> Option<u64> {
         let entry = self.entries.get(adapter)?;
         Some(now.saturating_sub(entry.requested_at))
     }
 
-    /// Adapters asked for within the last `within_ms`, with the slots their requests occupy.
+    /// Adapters requested within the last `within_ms`, with the slots that their requests occupy.
     pub(crate) fn adapters(&self, now: u64, within_ms: u64) -> impl Iterator<Item = (&str, f64)> {
         self.entries.iter().filter_map(move |(adapter, entry)| {
             let recent = now.saturating_sub(entry.requested_at) <= within_ms;
@@ -146,8 +147,8 @@
             self.entries.values().filter(|entry| now.saturating_sub(entry.reported_at) <= FRESH_MS).collect();
         let rate: f64 = fresh.iter().map(|entry| entry.sample.requests_per_s).sum();
         let slots: f64 = fresh.iter().map(|entry| entry.sample.slots()).sum();
-        let aims = fresh.iter().map(|entry| entry.sample.latency_target_ms).filter(|aim| *aim > 0);
-        self.latency_target_ms = aims.min().unwrap_or(self.latency_target_ms);
+        let targets = fresh.iter().map(|entry| entry.sample.latency_target_ms).filter(|target| *target > 0);
+        self.latency_target_ms = targets.min().unwrap_or(self.latency_target_ms);
         self.samples = self.samples.saturating_add(1);
         self.slots += self.weight(FAST_WEIGHT) * (slots - self.slots);
         self.peak_slots = self.slots.max(self.peak_slots * PEAK_DECAY);
@@ -160,7 +161,7 @@
         self.forecast_slots = self.slots.max(forecast_rate * self.service_s);
     }
 
-    /// By Little's law, a request occupies a slot for the slots in use over the rate of arrivals.
+    /// Measures the service time by Little's law: slots in use divided by the arrival rate.
     fn measure_service(&mut self, slots: f64, rate: f64) {
         if self.service_s == 0.0 {
             self.service_s = ASSUMED_SERVICE_S;
@@ -171,12 +172,12 @@
         }
     }
 
-    /// Weight of a sample in an average that is the plain mean as long as there are few.
+    /// Weight of a sample in an average that starts as the arithmetic mean of the first samples.
     fn weight(&self, steady_weight: f64) -> f64 {
         steady_weight.max(1.0 / f64::from(self.samples))
     }
 
-    /// Whether nothing about this model needs attention any more.
+    /// Whether the model has had no demand for so long that its record can be dropped.
     pub(crate) fn is_expired(&self, now: u64) -> bool {
         self.idle_ms(now).is_none_or(|idle| idle > EXPIRY_MS)
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,15 +1,16 @@
 //! Placement of models and adapters on the workers of one service.
 //!
-//! [`Planner`] is a state machine without I/O. It is told about workers, demand, answers to its orders and the
-//! passing of time, and returns the orders to send, the reports to ask for and what it believes each worker holds.
+//! [`Planner`] is a state machine without I/O. Its inputs are the workers, demand, answers to its orders and the
+//! passing of time; its outputs are orders to send, reports to request and what each worker holds according to its
+//! record.
 //!
-//! Three properties are kept on every path:
+//! Three invariants hold on every path:
 //!
-//! - A load is ordered only where the weights and adapter slots of the worker hold it beside everything that is
-//!   resident, under way or possibly taken without an answer.
-//! - Loads from the weight store pass a token bucket below the store's rate ([`Engine::loads_per_s`]).
-//! - A worker gets one order at a time, conditional on the number of orders it has taken so far (`if_revision`), so
-//!   an order that arrives late or belongs to an earlier planner can't make the planner's view wrong unnoticed.
+//! - A load is ordered only if the worker's memory and adapter slots can hold it in addition to everything that is
+//!   resident, being loaded, or possibly accepted without an answer.
+//! - Loads from the weight store pass a token bucket whose rate is below the store's limit ([`Engine::loads_per_s`]).
+//! - A worker gets one order at a time, conditional on the number of orders that it has accepted (`if_revision`). An
+//!   order that arrives late or comes from an earlier planner thus cannot invalidate the planner's record undetected.
 
 mod catalogue;
 mod counters;
--- a/crates/placement/src/message.rs
+++ b/crates/placement/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// Identity of one incarnation of a worker; a restart brings a new one.
+/// Identity of one incarnation of a worker; it changes with each restart.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub String);
 
@@ -12,24 +12,24 @@
     }
 }
 
-/// Identity of an order, given once among the planners of a node.
+/// Identity of an order, unique among the planners of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderId(pub u64);
 
-/// What the worker table says of a worker's life.
+/// Lifecycle state of a worker in the worker table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerState {
-    /// Takes requests and orders.
+    /// Accepts requests and orders.
     Ready,
-    /// Leaves soon; serves what it holds but gets no orders.
+    /// About to leave; serves its models but gets no orders.
     Draining,
-    /// Not heard of for some heartbeats; gets no orders and isn't counted as a holder.
+    /// Missed several heartbeats; gets no orders and its models do not count as replicas.
     Suspected,
-    /// Ended.
+    /// Terminated.
     Gone,
 }
 
-/// A model held by a worker, with those of its adapters the worker holds.
+/// A model held by a worker, with its adapters on that worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Resident {
     /// Name of the model.
@@ -43,121 +43,121 @@
 pub struct WorkerView {
     /// Identity of this incarnation.
     pub id: WorkerId,
-    /// Address that takes orders.
+    /// Address for orders.
     pub address: String,
-    /// Zone the worker stands in.
+    /// Zone of the worker.
     pub zone: String,
-    /// State of its life.
+    /// Lifecycle state.
     pub state: WorkerState,
-    /// What its newest heartbeat said it holds; lags behind orders.
+    /// Models in its newest heartbeat; lags behind orders.
     pub models: Vec<Resident>,
     /// Sequence of that heartbeat.
     pub as_of_sequence: u64,
 }
 
-/// How an order ended, or that its end isn't known.
+/// Answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// 202: the worker carries it out.
+    /// 202: the worker executes the order.
     Accepted,
-    /// 200: the worker holds already what was to be loaded, or doesn't hold what was to be unloaded.
+    /// 200: nothing to do; the item to load is loaded already, or the item to unload is not loaded.
     AlreadyHolds,
-    /// 409: another order is under way or the expected sequence differs.
+    /// 409: another order is in progress or the expected revision differs.
     Busy,
     /// 412: the worker has seen a higher fencing token.
     StaleFence,
-    /// 400: the worker knows no such order.
+    /// 400: the worker does not support the order.
     Rejected,
     /// 421: another worker answers at this address.
     WrongInstance,
-    /// No answer; the order may have been taken.
+    /// No answer; the order may have been accepted.
     NoAnswer,
 }
 
-/// What the planner is told.
+/// Input of the planner.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
     /// The whole list of workers of the service; a worker not listed is gone.
     Workers(Vec<WorkerView>),
-    /// Demand for a model and adapter over all gatekeepers, told about every 500 ms while there is any. Each entry
-    /// counts the requests that name exactly this pair; the demand of a model is the sum of its entries.
+    /// Demand for a model and adapter over all data planes, reported about every 500 ms while there is any. Each entry
+    /// counts the requests that name exactly this pair; the demand for a model is the sum of its entries.
     Demand {
         /// Name of the model.
         model: String,
-        /// Name of the adapter, where requests name one.
+        /// Name of the adapter, if requests name one.
         adapter: Option<String>,
-        /// Requests that arrive a second.
+        /// Arrival rate in requests per second.
         requests_per_s: f64,
-        /// Smallest latency aim among them, in milliseconds.
+        /// Smallest latency target among the requests, in milliseconds.
         latency_target_ms: u64,
-        /// Requests outstanding at workers, running or queued; 0 where it isn't known.
+        /// Requests running or queued at workers; 0 if unknown.
         outstanding: u32,
-        /// Requests held because no worker can take them.
+        /// Requests held because no worker can serve them.
         waiting: u32,
     },
-    /// A gatekeeper holds or refuses requests because no worker has what they need.
+    /// A data plane holds or rejects requests because no worker has the model or adapter they need.
     Missing {
         /// Name of the model.
         model: String,
-        /// Name of the adapter, where requests name one.
+        /// Name of the adapter, if requests name one.
         adapter: Option<String>,
-        /// Requests held or refused for this.
+        /// Requests held or rejected for this reason.
         waiting: u32,
-        /// Their smallest latency aim, in milliseconds.
+        /// Smallest latency target among them, in milliseconds.
         latency_target_ms: u64,
     },
-    /// How much a worker has to do.
+    /// Current load of a worker.
     Load {
         /// The worker.
         worker: WorkerId,
-        /// Requests it runs.
+        /// Running requests.
         running: u32,
-        /// Requests it queues.
+        /// Queued requests.
         queued: u32,
-        /// Tokens of its memory in use that can't give way.
+        /// KV cache tokens in use that cannot be evicted.
         kv_used: u64,
-        /// Tokens its memory holds.
+        /// Capacity of its KV cache in tokens.
         kv_total: u64,
     },
     /// The answer to an order.
     OrderResult {
         /// The order.
         order: OrderId,
-        /// How it was answered.
+        /// The answer.
         answer: OrderAnswer,
     },
     /// A worker's report.
     Report {
         /// The worker.
         worker: WorkerId,
-        /// Whether it carries out an order.
+        /// Whether an order is in progress.
         busy: bool,
-        /// Orders it has taken.
+        /// Number of orders it has accepted.
         sequence: u64,
-        /// What it holds.
+        /// Models it holds.
         models: Vec<Resident>,
     },
-    /// Time has passed; expected every 20 to 100 ms.
+    /// Timer tick, expected every 20 to 100 ms.
     Tick,
 }
 
 /// Kind of order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operation {
-    /// Load a model, or an adapter of a model that is there.
+    /// Load a model, or an adapter of a loaded model.
     Load,
     /// Unload a model with its adapters, or one adapter.
     Unload,
 }
 
-/// What the planner wants done.
+/// Output of the planner.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Send an order, and return its [`Input::OrderResult`] whatever happens.
+    /// Send an order. An [`Input::OrderResult`] must follow in every case.
     Order {
         /// Identity of the order.
         order: OrderId,
-        /// Worker that takes it.
+        /// Worker that receives it.
         worker: WorkerId,
         /// Its address.
         address: String,
@@ -165,19 +165,20 @@
         operation: Operation,
         /// Name of the model.
         model: String,
-        /// Name of the adapter, for an order about an adapter.
+        /// Name of the adapter, for an adapter order.
         adapter: Option<String>,
-        /// Number of orders the worker must have taken before.
+        /// Number of orders that the worker must have accepted before.
         if_revision: Option<u64>,
     },
-    /// Ask a worker for its report; an answer that never comes is asked for again.
+    /// Request a worker's report; the planner repeats the request if no report arrives.
     RequestReport {
         /// The worker.
         worker: WorkerId,
         /// Its address.
         address: String,
     },
-    /// What requests may be sent to a worker for, from now on. It goes before heartbeats sent earlier.
+    /// Models and adapters that requests may be routed to on a worker from now on. Takes precedence over heartbeats
+    /// sent earlier.
     Resident {
         /// The worker.
         worker: WorkerId,
@@ -188,11 +189,11 @@
     ReadyEstimate {
         /// Name of the model.
         model: String,
-        /// Name of the adapter, where one was missing.
+        /// Name of the adapter, if one was missing.
         adapter: Option<String>,
-        /// Time until it should stand, in milliseconds; none where there is no room for it.
+        /// Estimated time until it is served, in milliseconds; `None` if no load can be planned.
         ready_in_ms: Option<u64>,
     },
-    /// A worker has seen a higher fencing token: another planner acts, and this one orders nothing more.
+    /// A worker has seen a higher fencing token: another planner is active, and this one sends no more orders.
     Superseded,
 }
--- a/crates/placement/src/orders.rs
+++ b/crates/placement/src/orders.rs
@@ -1,4 +1,4 @@
-//! The life of an order: sent, answered, carried out.
+//! Life cycle of an order: sent, answered, completed.
 
 use crate::message::{Operation, OrderAnswer, OrderId, Output};
 use crate::planner::Planner;
@@ -6,25 +6,25 @@
     ActiveOrder, ModelRecord, OrderPhase, Phase, RecordState, Step, UncertainLoad, WorkerKey,
 };
 
-/// An order without an answer for this long counts as unanswered, in milliseconds.
+/// Timeout of the answer to an order, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 4_000;
-/// Time after which an adapter ordered stands, in milliseconds; it takes 5 to 14.
+/// Time after which an accepted adapter load counts as complete, in milliseconds; it takes 5 to 14 ms.
 const ADAPTER_LOAD_MS: u64 = 40;
-/// Time a load from the worker's own disk takes at most as a rule, in milliseconds.
-pub(crate) const WARM_LOAD_MS: u64 = 650;
-/// Time an unload takes on a worker without runs of it, in milliseconds.
+/// Typical upper bound of a load from the worker's own disk, in milliseconds.
+pub(crate) const DISK_LOAD_MS: u64 = 650;
+/// Duration of an unload when no requests run on the model, in milliseconds.
 pub(crate) const UNLOAD_MS: u64 = 40;
-/// How long an unanswered load may still arrive, in milliseconds.
+/// Time for which an unanswered load may still reach the worker, in milliseconds.
 const LATE_ARRIVAL_MS: u64 = 4_000;
-/// How long an order a worker rejected isn't repeated there, in milliseconds.
+/// Time for which a model whose order was rejected is not ordered again on the same worker, in milliseconds.
 const REJECTION_BACKOFF_MS: u64 = 10_000;
-/// Pause before asking for a report when another order is found under way, in milliseconds.
+/// Delay before a report is requested when another order is in progress, in milliseconds.
 const BUSY_RETRY_MS: u64 = 100;
-/// Pause before asking a worker again that isn't the one expected at its address, in milliseconds.
+/// Delay before a report is requested when a different instance answers at the worker's address, in milliseconds.
 const WRONG_INSTANCE_RETRY_MS: u64 = 2_000;
 
 impl Planner {
-    /// Lets every worker with something to do go on.
+    /// Advances every worker with planned steps, an order in progress or a report due.
     pub(crate) fn advance_all(&mut self, now: u64) {
         let keys: Vec<WorkerKey> = self.active_workers.iter().copied().collect();
         for key in keys {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Does what is due on a worker: waits for its order, asks for its report or sends the next step.
+    /// Performs what is due on a worker: handles an order that is due, requests a report or sends the next step.
     pub(crate) fn advance(&mut self, now: u64, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         if let Some(order) = &worker.order {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes the answer to an order.
+    /// Handles the answer to an order.
     pub(crate) fn handle_order_answer(&mut self, now: u64, id: OrderId, answer: OrderAnswer) {
         let Some(key) = self.orders.remove(&id) else { return };
         let Some(worker) = self.workers.get_mut(key) else { return };
@@ -86,20 +86,20 @@
         }
     }
 
-    /// Time a load of a model onto a worker should take, in milliseconds.
+    /// Expected duration of a load on a worker, in milliseconds.
     pub(crate) fn load_ms(&self, key: WorkerKey, step: &Step) -> u64 {
         if step.adapter.is_some() {
             return ADAPTER_LOAD_MS;
         }
         let full = self.catalogue.spec(step.model).load_ms;
         if self.workers[key].on_disk.contains(&step.model) {
-            full.min(WARM_LOAD_MS)
+            full.min(DISK_LOAD_MS)
         } else {
             full
         }
     }
 
-    /// Whether carrying out a step draws on the weight store, as far as the planner can tell.
+    /// Whether a step loads from the weight store, as far as the planner knows.
     pub(crate) fn uses_store(&self, key: WorkerKey, step: &Step) -> bool {
         let loads_model = step.operation == Operation::Load && step.adapter.is_none();
         loads_model && !self.workers[key].on_disk.contains(&step.model)
@@ -111,7 +111,7 @@
             self.active_workers.remove(&key);
             return;
         };
-        if !self.workers[key].has_room(now, &step, &self.engine, &self.catalogue) {
+        if !self.workers[key].has_capacity_for(now, &step, &self.engine, &self.catalogue) {
             self.workers[key].plan.clear();
             self.update_and_announce(key);
             return;
@@ -147,15 +147,16 @@
         self.update_and_announce(key);
     }
 
-    /// Time from the order of a step until the planner knows that it is done, in milliseconds.
+    /// Time from ordering a step until its completion is confirmed, in milliseconds.
     pub(crate) fn confirmed_after_ms(&self, key: WorkerKey, step: &Step) -> u64 {
         self.step_duration_ms(key, step) + self.confirmation_lag_ms(step)
     }
 
-    /// Time by which the planner learns late that a step is done, in milliseconds.
+    /// Delay until the planner learns that a completed step is done, in milliseconds. Adapter loads count as complete
+    /// after a fixed time, without a report.
     fn confirmation_lag_ms(&self, step: &Step) -> u64 {
-        let known_by_time = step.adapter.is_some() && step.operation == Operation::Load;
-        if known_by_time {
+        let is_completed_by_time = step.adapter.is_some() && step.operation == Operation::Load;
+        if is_completed_by_time {
             0
         } else {
             self.settings.report_lag_ms
@@ -212,7 +213,7 @@
         self.advance(now, key);
     }
 
-    /// The order may have been taken and may even arrive later: everything it could bring counts as there.
+    /// The order may have been accepted or may still arrive, so everything that it could load counts as loaded.
     fn handle_unanswered(&mut self, now: u64, key: WorkerKey, order: &ActiveOrder) {
         let lag = self.settings.report_lag_ms;
         let worker = &mut self.workers[key];
@@ -228,7 +229,7 @@
         self.update_and_announce(key);
     }
 
-    /// The order provably wasn't taken; the worker's report tells why.
+    /// The order was provably not accepted; the worker's report will show why.
     fn handle_not_accepted(&mut self, now: u64, key: WorkerKey, order: &ActiveOrder, retry_ms: u64) {
         if order.used_store_token {
             self.store.refund(now);
@@ -239,7 +240,7 @@
         self.update_and_announce(key);
     }
 
-    /// Takes back the marks of an order that had no effect at all.
+    /// Reverts the record changes of an order that had no effect.
     fn revert_step(&mut self, key: WorkerKey, step: &Step) {
         revert_in_record(&mut self.workers[key].model_records, step);
     }
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner's state, its entry point and the list of workers.
+//! The planner's state, its inputs and the list of workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,34 +15,34 @@
 use crate::store_rate_limiter::StoreRateLimiter;
 use crate::worker::{Phase, RecordState, Worker, WorkerKey};
 
-/// Time between two rounds of the policy on ticks, in milliseconds.
+/// Interval between policy rounds, in milliseconds.
 const POLICY_INTERVAL_MS: u64 = 100;
-/// Time between two samples of demand, in milliseconds; gatekeepers tell it as often.
+/// Interval between samples of demand, in milliseconds; data planes report demand at the same interval.
 const SAMPLE_INTERVAL_MS: u64 = 500;
-/// Time after a change within which heartbeats may still show the state before it, in milliseconds.
+/// Time after a change during which heartbeats may still show the previous state, in milliseconds.
 const HEARTBEAT_LAG_MS: u64 = 3_000;
 
-/// Orders' identities set apart for each millisecond of creation, so that a planner made later on the same node never
-/// gives an identity again: an answer to an order of the earlier one would pass for the answer to its own.
+/// Order ids reserved per millisecond of the planner's creation time, so that a later planner on the same node never
+/// reuses an id: it would take an answer to an order of the earlier planner for the answer to its own.
 const ORDER_IDS_PER_MS: u64 = 1 << 16;
 
-/// Workers that hold a model or will.
+/// Workers that serve a model, or will after a pending load.
 #[derive(Debug, Default)]
 pub(crate) struct Replicas {
-    /// Ready workers on which it stands and stays.
+    /// Ready workers on which it is resident and not about to be unloaded.
     pub(crate) serving: BTreeSet<WorkerKey>,
-    /// Ready workers to which it has been ordered or is planned.
+    /// Ready workers on which its load is planned or ordered.
     pub(crate) pending: BTreeSet<WorkerKey>,
 }
 
 impl Replicas {
-    /// Copies that stand or will.
+    /// Number of serving and pending replicas.
     pub(crate) fn count(&self) -> usize {
         self.serving.len() + self.pending.len()
     }
 }
 
-/// Decides which worker of one service holds which model and adapter.
+/// Decides which models and adapters each worker of one service holds.
 #[derive(Debug)]
 pub struct Planner {
     pub(crate) settings: PlannerSettings,
@@ -51,29 +51,29 @@
     pub(crate) workers: SlotMap<WorkerKey, Worker>,
     pub(crate) by_id: BTreeMap<WorkerId, WorkerKey>,
     pub(crate) on_disk_by_address: BTreeMap<String, BTreeSet<ModelIndex>>,
-    /// Per model, by its index.
+    /// Indexed by [`ModelIndex`].
     pub(crate) replicas: Vec<Replicas>,
     pub(crate) demand: BTreeMap<ModelIndex, ModelDemand>,
     pub(crate) missing: MissingTable,
     pub(crate) store: StoreRateLimiter,
     pub(crate) random: Rng,
     pub(crate) orders: BTreeMap<OrderId, WorkerKey>,
-    /// Workers with something planned, under way or to be asked.
+    /// Workers with planned steps, an order in progress or a report due.
     pub(crate) active_workers: BTreeSet<WorkerKey>,
     pub(crate) outputs: Vec<Output>,
-    /// When the planner may ask and order; it only watches before.
+    /// Time from which the planner may request reports and send orders; it only observes before.
     pub(crate) orders_allowed_at: u64,
-    /// When demand was first told.
+    /// Time of the first demand report.
     pub(crate) first_demand_at: Option<u64>,
-    /// Copies that models should have because of what is busy now.
+    /// Replicas that models should have because their predecessors are busy now.
     pub(crate) anticipated: BTreeMap<ModelIndex, usize>,
-    /// Tokens of the store that other loads leave to models whose copies are crowded.
+    /// Store tokens that other loads leave to overloaded models.
     pub(crate) tokens_reserved_for_overloaded: f64,
-    /// Whose turn the next load from the store is.
+    /// Alternation of store loads between replicas and missing models.
     pub(crate) turns: Turns,
-    /// Reports of requests for what stands.
+    /// Reports of missing models that are served already.
     pub(crate) served_reports: ServedReportTable,
-    /// What became of requests for what stands nowhere, for the log.
+    /// Counters of placement attempts, for the log.
     pub(crate) counters: PlacementCounters,
     next_order: u64,
     next_policy_at: u64,
@@ -82,9 +82,9 @@
 }
 
 impl Planner {
-    /// A planner that knows nothing yet. For [`PlannerSettings::watch_ms`] it only watches; then its bucket of loads
-    /// is empty, since a predecessor may just have used the store's rate, and it orders nothing to a worker before
-    /// that worker has reported. `seed` settles ties.
+    /// A planner with no knowledge of the workers. For [`PlannerSettings::watch_ms`] it only observes. It then starts
+    /// with no store tokens, since a previous planner may just have used the store's rate, and orders nothing to a
+    /// worker before that worker has reported. `seed` initializes the random numbers for sampling and tie-breaking.
     pub fn new(now: u64, settings: PlannerSettings, engine: Engine, seed: u64) -> Self {
         let orders_allowed_at = now + settings.watch_ms;
         let store = StoreRateLimiter::new(
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes over a changed configuration of the engine.
+    /// Applies a changed engine configuration.
     pub fn set_engine(&mut self, now: u64, engine: Engine) {
         self.store.set_rate(now, engine.loads_per_s * self.settings.store_share);
         self.catalogue.update(&engine);
@@ -132,17 +132,17 @@
         self.missing.retain_models(|model| catalogue.entry(model).rank.is_some());
     }
 
-    /// Whether a worker has refused this planner's fencing token; it orders nothing any more.
+    /// Whether a worker has refused this planner's fencing token; the planner then sends no more orders.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Takes what was counted since the last call.
+    /// Returns the counters since the last call and resets them.
     pub fn take_counters(&mut self) -> PlacementCounters {
         std::mem::take(&mut self.counters)
     }
 
-    /// Takes one input and returns what is to be done for it. `now` is in milliseconds and never goes back.
+    /// Handles one input and returns the resulting outputs. `now` is in milliseconds and must not decrease.
     pub fn handle(&mut self, now: u64, input: Input) -> Vec<Output> {
         if self.superseded {
             return Vec::new();
@@ -168,39 +168,38 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// The copies of a model.
     pub(crate) fn replicas_of(&mut self, model: ModelIndex) -> &Replicas {
         self.resize_replica_index();
         &self.replicas[model.get()]
     }
 
-    /// Whether a model with its adapter stands on a worker that takes requests.
+    /// Whether a ready worker serves a model, with its adapter if one is named.
     pub(crate) fn is_served(&mut self, servable: &ServableId) -> bool {
         let serving = self.replicas_of(servable.model).serving.clone();
         let Some(adapter) = servable.adapter.as_deref() else { return !serving.is_empty() };
         serving.iter().any(|key| {
-            let held = self.workers[*key].model_record(servable.model);
-            held.is_some_and(|record| record.adapters.get(adapter) == Some(&Phase::Resident))
+            let record = self.workers[*key].model_record(servable.model);
+            record.is_some_and(|record| record.adapters.get(adapter) == Some(&Phase::Resident))
         })
     }
 
-    /// Brings the index up to date with a worker's record, and tells routers what changed on it.
+    /// Updates the replica index from a worker's record, and announces changed models to routers.
     pub(crate) fn update_and_announce(&mut self, key: WorkerKey) {
         self.update_replica_index(key);
         let worker = &mut self.workers[key];
         if !worker.may_be_announced() {
             return;
         }
-        let servable = worker.served_models(&self.catalogue);
-        let is_told = |told: &Vec<Resident>| crate::worker::same_residents(&servable, told);
-        if worker.announced.as_ref().is_some_and(is_told) {
+        let served = worker.served_models(&self.catalogue);
+        let is_announced = |announced: &Vec<Resident>| crate::worker::same_residents(&served, announced);
+        if worker.announced.as_ref().is_some_and(is_announced) {
             return;
         }
-        worker.announced = Some(servable.clone());
-        self.outputs.push(Output::Resident { worker: worker.id.clone(), models: servable });
+        worker.announced = Some(served.clone());
+        self.outputs.push(Output::Resident { worker: worker.id.clone(), models: served });
     }
 
-    /// Tells routers once more what the workers hold on which a model stands.
+    /// Announces again to routers the models of each worker that serves a model.
     pub(crate) fn reannounce_workers(&mut self, servable: &ServableId) {
         for key in self.replicas_of(servable.model).serving.clone() {
             let worker = &self.workers[key];
@@ -210,13 +209,13 @@
         }
     }
 
-    /// Notes that a worker refused the fencing token: gives up for good.
+    /// Stops the planner for good because a worker refused its fencing token.
     pub(crate) fn mark_superseded(&mut self) {
         self.superseded = true;
         self.outputs.push(Output::Superseded);
     }
 
-    /// A new order's identity.
+    /// Allocates the id of a new order to a worker.
     pub(crate) fn new_order_id(&mut self, key: WorkerKey) -> OrderId {
         let id = OrderId(self.next_order);
         self.next_order += 1;
@@ -290,15 +289,15 @@
             self.orders.remove(&order.id);
         }
         self.active_workers.remove(&key);
-        let held = worker.on_disk.union(&worker.probably_on_disk).copied();
-        self.on_disk_by_address.entry(worker.address.clone()).or_default().extend(held);
+        let on_disk = worker.on_disk.union(&worker.probably_on_disk).copied();
+        self.on_disk_by_address.entry(worker.address.clone()).or_default().extend(on_disk);
     }
 
     fn add_worker(&mut self, now: u64, view: &WorkerView) {
         let mut worker = Worker::new(now, view, now.max(self.orders_allowed_at));
-        worker.replace_record(now, &view.models, &mut self.catalogue, true);
-        if let Some(held) = self.on_disk_by_address.get(&view.address) {
-            worker.probably_on_disk.clone_from(held);
+        worker.replace_model_records(now, &view.models, &mut self.catalogue, true);
+        if let Some(on_disk) = self.on_disk_by_address.get(&view.address) {
+            worker.probably_on_disk.clone_from(on_disk);
         }
         let key = self.workers.insert(worker);
         self.by_id.insert(view.id.clone(), key);
@@ -323,7 +322,7 @@
         self.advance(now, key);
     }
 
-    /// Asks for a report where a newer heartbeat differs from the record long after the last order.
+    /// Requests a report if a newer heartbeat differs from the record well after the last change.
     fn check_heartbeat(&mut self, now: u64, key: WorkerKey, view: &WorkerView) {
         let worker = &mut self.workers[key];
         if view.as_of_sequence <= worker.heartbeat_sequence {
@@ -335,7 +334,7 @@
         if !worker.is_idle() || !settled || !unchecked {
             return;
         }
-        if !worker.matches(&view.models, &self.catalogue) {
+        if !worker.matches_heartbeat(&view.models, &self.catalogue) {
             worker.heartbeat_checked_at = now;
             worker.record_state = RecordState::Unconfirmed { request_at: now };
             self.active_workers.insert(key);
@@ -357,11 +356,12 @@
         let models: BTreeSet<ModelIndex> =
             worker.model_records.iter().map(|record| record.model).chain(planned).collect();
         for model in models {
-            let ordered = worker.model_record(model).is_some_and(|record| record.phase == Phase::Loading);
-            let comes = worker.is_responsive() && (ordered || worker.is_planned(Operation::Load, model));
+            let is_loading = worker.model_record(model).is_some_and(|record| record.phase == Phase::Loading);
+            let is_pending =
+                worker.is_responsive() && (is_loading || worker.is_planned(Operation::Load, model));
             if worker.serves(model) {
                 self.replicas[model.get()].serving.insert(key);
-            } else if comes {
+            } else if is_pending {
                 self.replicas[model.get()].pending.insert(key);
             }
             worker.indexed.push(model);
--- a/crates/placement/src/policy/missing.rs
+++ b/crates/placement/src/policy/missing.rs
@@ -26,7 +26,7 @@
 const REANNOUNCE_MS: u64 = 1_000;
 /// Added to the number of waiting requests for each second of waiting.
 const PRESSURE_PER_SECOND: f64 = 0.5;
-/// Latency target at which the urgency term of the rank equals 1, in milliseconds.
+/// Latency target that doubles the weight of waiting requests in the rank, in milliseconds; shorter ones weigh more.
 const REFERENCE_LATENCY_TARGET_MS: f64 = 1_000.0;
 
 /// A model, or one of its adapters, as the unit that requests need.
--- a/crates/placement/src/reports.rs
+++ b/crates/placement/src/reports.rs
@@ -1,31 +1,32 @@
-//! Reports: asking for them, and taking over what they say.
+//! Requests for worker reports, and handling of the reports.
 
 use crate::message::{Output, Resident, WorkerId};
 use crate::planner::Planner;
 use crate::worker::{RecordState, WorkerKey};
 
-/// Pause before asking again when a report shows an order still under way, in milliseconds.
+/// Delay before the next request when a report shows that an order is still in progress, in milliseconds.
 const STILL_BUSY_RETRY_MS: u64 = 200;
-/// Pause before asking again when a report is older than what the planner knows, in milliseconds.
+/// Delay before the next request when a report is older than the planner's record, in milliseconds.
 const STALE_REPORT_RETRY_MS: u64 = 150;
-/// Time a report may take before it is asked for again, in milliseconds; doubled for each that didn't come.
+/// Timeout of a report request, in milliseconds; doubled for each unanswered request.
 const REPORT_TIMEOUT_MS: u64 = 500;
-/// Greatest number of doublings, so that a silent worker is asked every 8 s.
+/// Maximum number of doublings, so that requests to an unresponsive worker are 8 s apart.
 const MAX_REPORT_TIMEOUT_DOUBLINGS: u32 = 4;
 
 impl Planner {
-    /// Asks a worker for its report, and arranges to ask again if none comes.
+    /// Requests a worker's report, and schedules the next request in case it does not arrive.
     pub(crate) fn request_report(&mut self, now: u64, key: WorkerKey) {
         let worker = &mut self.workers[key];
-        let again_at = now + (REPORT_TIMEOUT_MS << worker.report_requests.min(MAX_REPORT_TIMEOUT_DOUBLINGS));
+        let retry_at = now + (REPORT_TIMEOUT_MS << worker.report_requests.min(MAX_REPORT_TIMEOUT_DOUBLINGS));
         worker.report_requests += 1;
         self.outputs
             .push(Output::RequestReport { worker: worker.id.clone(), address: worker.address.clone() });
-        self.schedule_report_request(key, again_at);
+        self.schedule_report_request(key, retry_at);
         self.update_and_announce(key);
     }
 
-    /// Takes a report. One that is as new as all the planner knows, with no order under way, is the truth.
+    /// Handles a report. The record is replaced if the report covers every order that the planner knows of and no order
+    /// is in progress.
     pub(crate) fn handle_report(
         &mut self,
         now: u64,
@@ -53,12 +54,12 @@
         worker.min_sequence = sequence;
         worker.record_state = RecordState::Confirmed { sequence };
         worker.changed_at = now;
-        worker.replace_record(now, models, &mut self.catalogue, false);
+        worker.replace_model_records(now, models, &mut self.catalogue, false);
         self.update_and_announce(key);
         self.advance(now, key);
     }
 
-    /// Sets when the report is asked for next, if the planner still waits for one.
+    /// Schedules the next report request, if the planner still waits for a report.
     fn schedule_report_request(&mut self, key: WorkerKey, request_at: u64) {
         let worker = &mut self.workers[key];
         if let Some(order) = &mut worker.order {
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,33 +1,34 @@
-//! What the operator and the deployment set: bounds of orders, models and the room of a worker.
+//! Settings of the planner, the models and the capacity of a worker.
 
 use serde::Deserialize;
 
-/// Bounds that hold for every service of a deployment.
+/// Planner settings that apply to every service of a deployment.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlannerSettings {
-    /// Time after its creation in which a planner only watches, in milliseconds: the lease of a predecessor on another
-    /// node, or 0 where there was none. Reports asked for afterwards show everything the predecessor ordered. Given by the
-    /// process, not read.
+    /// Time after its creation during which a planner only observes, in milliseconds: the lease of a previous planner
+    /// on another node, or 0 if there was none. Reports requested afterwards show everything that the previous
+    /// planner ordered. Set by the process, not read from the configuration.
     #[serde(skip)]
     pub watch_ms: u64,
     /// Share of `loads_per_s` that the planner uses over time.
     pub store_share: f64,
-    /// Loads that may begin at once after a quiet time.
+    /// Loads that may start at once after an idle period (burst of the token bucket).
     pub store_burst: f64,
-    /// How far a worker's report lags behind the truth, in milliseconds.
+    /// Lag of a worker's report behind its actual state, in milliseconds.
     pub report_lag_ms: u64,
-    /// Share of a worker's slots that requests for one model should occupy at most.
+    /// Target occupancy: the maximum share of a worker's slots that requests for one model should occupy.
     pub wanted_occupancy: f64,
-    /// Share of a worker's slots from which the copies of a model are crowded: further ones go before all other loads.
+    /// Occupancy of the replicas above which a model is overloaded, as a share of a worker's slots: its further
+    /// replicas have priority over all other loads.
     pub crowded_occupancy: f64,
-    /// Whether models get copies in proportion to their demand.
+    /// Whether models get replicas in proportion to their demand.
     pub growth: bool,
-    /// Whether copies of crowded models go before other loads.
+    /// Whether replicas of overloaded models have priority over other loads.
     pub crowded_first: bool,
-    /// Whether the most loaded worker gets help by a further copy of what it holds.
+    /// Whether the most loaded worker is relieved by another replica of its busiest model.
     pub relief: bool,
-    /// Whether models that follow busy ones in the operator's list are loaded ahead of demand.
+    /// Whether successors of busy models in the operator's list are loaded ahead of demand.
     pub anticipation: bool,
 }
 
@@ -55,7 +56,7 @@
     pub name: String,
     /// Size of its weights in megabytes.
     pub weights_mb: f64,
-    /// Duration of a load from the weight store in milliseconds, on an idle worker.
+    /// Duration of a load from the weight store on an idle worker, in milliseconds.
     pub load_ms: u64,
     /// Number of adapters, named `a1`, `a2` and so on.
     pub adapters: u32,
@@ -63,17 +64,17 @@
     pub adapter_mb: f64,
 }
 
-/// The engine of a service: its models, and what each of its workers can hold and run.
+/// The engine of a service: its models and the capacity of each worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
     /// Models in the operator's order.
     pub models: Vec<ModelSpec>,
-    /// Room of a worker for weights and adapters together, in megabytes.
+    /// Memory of a worker for weights and adapters together, in megabytes.
     pub weights_mb: f64,
-    /// Adapters that a worker holds at most.
+    /// Maximum number of adapters on a worker.
     pub adapter_slots: u32,
-    /// Loads a second that the weight store allows over all workers.
+    /// Loads per second that the weight store allows over all workers.
     pub loads_per_s: f64,
-    /// Requests that a worker runs at once.
+    /// Maximum number of concurrent requests on a worker.
     pub slots: u32,
 }
--- a/crates/placement/src/store_rate_limiter.rs
+++ b/crates/placement/src/store_rate_limiter.rs
@@ -1,6 +1,6 @@
-//! Token bucket for loads from the weight store.
+//! Token bucket that limits the rate of loads from the weight store.
 
-/// Bucket that starts empty: a predecessor may have used all its loads just before.
+/// Token bucket that starts empty, since a previous planner may just have used all tokens.
 #[derive(Debug)]
 pub(crate) struct StoreRateLimiter {
     per_ms: f64,
@@ -10,18 +10,18 @@
 }
 
 impl StoreRateLimiter {
-    /// An empty bucket that fills with `per_s` tokens a second up to `burst`.
+    /// An empty bucket that fills with `per_s` tokens per second up to `burst`.
     pub(crate) fn new(now: u64, per_s: f64, burst: f64) -> Self {
         Self { per_ms: per_s / 1_000.0, burst, tokens: 0.0, updated_at: now }
     }
 
-    /// Changes the rate; tokens gathered so far stay.
+    /// Changes the rate; accumulated tokens are kept.
     pub(crate) fn set_rate(&mut self, now: u64, per_s: f64) {
         self.refill(now);
         self.per_ms = per_s / 1_000.0;
     }
 
-    /// Takes the token of one load, or returns false.
+    /// Takes the token of one load, or returns false if there is none.
     pub(crate) fn try_take(&mut self, now: u64) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
@@ -31,26 +31,27 @@
         true
     }
 
-    /// Gives back the token of a load that provably didn't begin.
+    /// Returns the token of a load that provably did not start.
     pub(crate) fn refund(&mut self, now: u64) {
         self.refill(now);
         self.tokens = (self.tokens + 1.0).min(self.burst);
     }
 
-    /// Loads that may be sent from `now` until `within_ms` later, each as its token comes. The burst bounds what may be
-    /// sent at one moment, not what is on its way to being sent: with it as the bound, loads that wait for room would
-    /// be begun at the burst over their wait, however many the store allows.
+    /// Number of loads that may be sent from `now` until `within_ms` later, each as its token becomes available. The
+    /// burst limits what may be sent at one moment, not what is planned: if it limited planned loads, the rate of loads
+    /// that wait for memory to be freed would be the burst divided by their waiting time, however much the store
+    /// allows.
     pub(crate) fn sendable_within(&self, now: u64, within_ms: u64) -> f64 {
         self.tokens_at(now) + within_ms as f64 * self.per_ms
     }
 
-    /// Tokens there will be at `later` if none is taken.
+    /// Tokens available at `later` if none is taken before.
     pub(crate) fn tokens_at(&self, later: u64) -> f64 {
         let elapsed = later.saturating_sub(self.updated_at) as f64;
         (self.tokens + elapsed * self.per_ms).min(self.burst)
     }
 
-    /// Milliseconds from `now` until `count` more loads have their tokens.
+    /// Time from `now` until `count` more loads have their tokens, in milliseconds.
     pub(crate) fn wait_ms(&self, now: u64, count: usize) -> u64 {
         let lacking = count as f64 - self.tokens_at(now);
         if lacking <= 0.0 {
--- a/crates/placement/src/worker.rs
+++ b/crates/placement/src/worker.rs
@@ -1,4 +1,4 @@
-//! What the planner knows of one worker: what it holds, the order under way, the steps planned.
+//! The planner's record of one worker: resident models, the order in progress and planned steps.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,34 +13,34 @@
     pub(crate) struct WorkerKey;
 }
 
-/// Room counted as rounding of the configured sizes, in megabytes.
+/// Tolerance for rounding of the configured sizes, in megabytes.
 const ROUNDING_MB: f64 = 1e-6;
 
-/// Reports that may stay away before the planner no longer counts on what it ordered.
+/// Consecutive unanswered report requests beyond which pending loads are no longer expected to complete.
 const MAX_UNANSWERED_REPORT_REQUESTS: u32 = 2;
 
-/// Phase of something on a worker.
+/// Phase of a model or adapter on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Ordered and perhaps not there yet.
+    /// Load ordered; possibly not complete.
     Loading,
-    /// There.
+    /// Loaded.
     Resident,
-    /// Ordered away and perhaps still there.
+    /// Unload ordered; possibly not complete.
     Unloading,
 }
 
-/// A model on a worker.
+/// Record of a model on a worker.
 #[derive(Debug, Clone)]
 pub(crate) struct ModelRecord {
     pub(crate) model: ModelIndex,
     pub(crate) phase: Phase,
-    /// When the planner saw it come, or none if it was there before.
+    /// When the planner saw the load complete, or `None` if the model was resident when the worker was first seen.
     pub(crate) since: Option<u64>,
     pub(crate) adapters: BTreeMap<String, Phase>,
 }
 
-/// Something to do on a worker.
+/// A planned or ordered load or unload on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Step {
     pub(crate) operation: Operation,
@@ -48,30 +48,30 @@
     pub(crate) adapter: Option<String>,
 }
 
-/// How far an order has come.
+/// Progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OrderPhase {
     /// Sent, no answer yet.
     Sent,
-    /// Accepted and carried out.
+    /// Accepted and in progress.
     Accepted,
 }
 
-/// The order a worker has been sent.
+/// The order in progress on a worker.
 #[derive(Debug, Clone)]
 pub(crate) struct ActiveOrder {
     pub(crate) id: OrderId,
     pub(crate) step: Step,
     pub(crate) phase: OrderPhase,
-    /// Whether it took a token of the store.
+    /// Whether it used a token of the store's rate limit.
     pub(crate) used_store_token: bool,
-    /// When the planner acts on it next.
+    /// When the planner acts on the order next.
     pub(crate) due: u64,
-    /// When it should be done.
+    /// Expected completion time.
     pub(crate) done_at: u64,
 }
 
-/// A load without an answer that may still arrive.
+/// A load that was not answered and may still reach the worker.
 #[derive(Debug, Clone)]
 pub(crate) struct UncertainLoad {
     pub(crate) model: ModelIndex,
@@ -79,17 +79,17 @@
     pub(crate) until: u64,
 }
 
-/// What the planner knows of the truth of its record.
+/// Whether a worker's record is known to be accurate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RecordState {
-    /// Every order taken so far is known; the count of orders is exact.
+    /// Every order that the worker has accepted is known.
     Confirmed {
-        /// Orders the worker has taken.
+        /// Number of orders the worker has accepted.
         sequence: u64,
     },
-    /// A report has to tell first.
+    /// A report is needed first.
     Unconfirmed {
-        /// When to ask for the report.
+        /// When to request the report.
         request_at: u64,
     },
 }
@@ -105,33 +105,34 @@
     pub(crate) plan: VecDeque<Step>,
     pub(crate) order: Option<ActiveOrder>,
     pub(crate) record_state: RecordState,
-    /// Least sequence a report must show to be newer than all the planner knows.
+    /// Lowest sequence of a report that covers every accepted order the planner knows of.
     pub(crate) min_sequence: u64,
     pub(crate) uncertain_loads: Vec<UncertainLoad>,
-    /// Reports asked for in a row without one that settles the matter.
+    /// Report requests since the last report.
     pub(crate) report_requests: u32,
-    /// Models this incarnation provably held: they come from its own disk.
+    /// Models that this incarnation has held: it reloads them from its own disk.
     pub(crate) on_disk: BTreeSet<ModelIndex>,
-    /// Models held at this address before the restart: they probably come from its own disk.
+    /// Models held at this address before a restart: the worker probably reloads them from its own disk.
     pub(crate) probably_on_disk: BTreeSet<ModelIndex>,
-    /// Orders the worker rejected, with the time until which they aren't tried again.
+    /// Models of rejected orders, with the time until which they are not retried.
     pub(crate) rejected: BTreeMap<ModelIndex, u64>,
-    /// What routers were last told of it by this planner, if anything. They may hold the word of an earlier one, which
-    /// counts for more with them than a heartbeat; so nothing may be taken for told that this planner has not told.
+    /// Models that this planner last announced to routers, if any. Routers may still hold an announcement of an earlier
+    /// planner, which takes precedence over heartbeats, so nothing counts as announced that this planner has not
+    /// announced itself.
     pub(crate) announced: Option<Vec<Resident>>,
     pub(crate) heartbeat_sequence: u64,
     pub(crate) changed_at: u64,
     pub(crate) heartbeat_checked_at: u64,
     pub(crate) occupied: u32,
     pub(crate) kv_share: f64,
-    /// Until when no further copy is loaded elsewhere to relieve it.
+    /// Until when no further replica is loaded elsewhere to relieve it.
     pub(crate) relieved_until: u64,
-    /// Models under which the record stands in the planner's index.
+    /// Models under which the worker is listed in the planner's replica index.
     pub(crate) indexed: Vec<ModelIndex>,
 }
 
 impl Worker {
-    /// Record of a worker seen for the first time; its report is due at `request_at`.
+    /// Record of a worker seen for the first time; its report is requested at `request_at`.
     pub(crate) fn new(now: u64, view: &WorkerView, request_at: u64) -> Self {
         Self {
             id: view.id.clone(),
@@ -159,29 +160,29 @@
         }
     }
 
-    /// Whether it takes orders at all.
+    /// Whether the worker accepts orders at all.
     pub(crate) fn is_ready(&self) -> bool {
         self.state == WorkerState::Ready
     }
 
-    /// Whether a plan about models may be made for it now.
+    /// Whether nothing is planned or in progress on a ready worker whose record is confirmed.
     pub(crate) fn is_idle(&self) -> bool {
         self.is_ready() && self.order.is_none() && self.plan.is_empty() && self.is_confirmed()
     }
 
-    /// Whether a load of a model may be planned for it, behind steps about adapters at the most: those take moments, and a
-    /// worker whose adapters change all the time would never be free otherwise.
+    /// Whether a model load may be planned. It may follow adapter steps, which take milliseconds: otherwise a worker
+    /// whose adapters change all the time would never be available.
     pub(crate) fn takes_model_loads(&self) -> bool {
         self.is_ready() && self.is_confirmed() && self.has_only_adapter_steps()
     }
 
-    /// Whether neither the order under way nor the plan is about a whole model.
+    /// Whether neither the order in progress nor the plan loads or unloads a whole model.
     pub(crate) fn has_only_adapter_steps(&self) -> bool {
         let order_is_short = self.order.as_ref().is_none_or(|order| order.step.adapter.is_some());
         order_is_short && self.plan.iter().all(|step| step.adapter.is_some())
     }
 
-    /// Whether it has been told to unload something and reports show it still there: requests run on it.
+    /// Whether an accepted unload is overdue because requests are still running on the model.
     pub(crate) fn unload_waits_for_requests(&self, now: u64, report_lag_ms: u64) -> bool {
         self.order.as_ref().is_some_and(|order| {
             let should_be_done = now > order.done_at + report_lag_ms;
@@ -189,54 +190,52 @@
         })
     }
 
-    /// Whether what it holds is known well enough to be told: once it has reported to this planner.
+    /// Whether its models may be announced: once the worker has reported to this planner.
     pub(crate) fn may_be_announced(&self) -> bool {
         self.announced.is_some() || self.is_confirmed()
     }
 
-    /// Whether all orders it has taken are known.
+    /// Whether every order that the worker has accepted is known.
     pub(crate) fn is_confirmed(&self) -> bool {
         matches!(self.record_state, RecordState::Confirmed { .. })
     }
 
-    /// Whether it has answered the planner lately, so that what was ordered can be expected to come.
+    /// Whether it has answered recent report requests, so that pending loads can be expected to complete.
     pub(crate) fn is_responsive(&self) -> bool {
         self.report_requests <= MAX_UNANSWERED_REPORT_REQUESTS
     }
 
-    /// Share of its slots or memory in use; above 1 when requests queue.
+    /// Share of its slots or KV memory in use, whichever is larger; above 1 when requests queue.
     pub(crate) fn load(&self, engine: &Engine) -> f64 {
         let slots = f64::from(engine.slots.max(1));
         (f64::from(self.occupied) / slots).max(self.kv_share)
     }
 
-    /// The record of a model on it.
     pub(crate) fn model_record(&self, model: ModelIndex) -> Option<&ModelRecord> {
         self.model_records.iter().find(|record| record.model == model)
     }
 
-    /// The record of a model on it, to be changed.
     pub(crate) fn model_record_mut(&mut self, model: ModelIndex) -> Option<&mut ModelRecord> {
         self.model_records.iter_mut().find(|record| record.model == model)
     }
 
-    /// Whether the plan or the order under way brings or removes the model itself.
+    /// Whether the plan or the order in progress loads or unloads the model itself.
     pub(crate) fn is_planned(&self, operation: Operation, model: ModelIndex) -> bool {
-        let wanted =
+        let matches =
             |step: &Step| step.operation == operation && step.model == model && step.adapter.is_none();
-        self.plan.iter().any(wanted) || self.order.as_ref().is_some_and(|order| wanted(&order.step))
+        self.plan.iter().any(matches) || self.order.as_ref().is_some_and(|order| matches(&order.step))
     }
 
-    /// Whether requests for the model may be sent to it, and go on so.
+    /// Whether the model is resident and not about to be unloaded.
     pub(crate) fn serves(&self, model: ModelIndex) -> bool {
         let resident = self.model_record(model).is_some_and(|record| record.phase == Phase::Resident);
         resident && !self.is_planned(Operation::Unload, model)
     }
 
-    /// Whether an adapter stands, or is planned or under way.
+    /// Whether an adapter is loaded, being loaded or planned.
     pub(crate) fn has_adapter(&self, model: ModelIndex, adapter: &str) -> bool {
-        let held = self.model_record(model).and_then(|record| record.adapters.get(adapter));
-        held.is_some_and(|phase| *phase != Phase::Unloading) || self.is_adapter_planned(model, adapter)
+        let phase = self.model_record(model).and_then(|record| record.adapters.get(adapter));
+        phase.is_some_and(|phase| *phase != Phase::Unloading) || self.is_adapter_planned(model, adapter)
     }
 
     /// Whether the plan loads an adapter.
@@ -248,7 +247,7 @@
         })
     }
 
-    /// Megabytes in use, counting everything that may be there.
+    /// Megabytes in use, including everything that may have been loaded.
     pub(crate) fn used_mb(&self, now: u64, catalogue: &Catalogue) -> f64 {
         let held: f64 = self.model_records.iter().map(|record| model_record_mb(record, catalogue)).sum();
         let uncertain: f64 =
@@ -256,21 +255,27 @@
         held + uncertain
     }
 
-    /// Megabytes that adapters still to be ordered will use.
+    /// Megabytes that planned adapters will use.
     pub(crate) fn planned_adapters_mb(&self, catalogue: &Catalogue) -> f64 {
         let loads =
             self.plan.iter().filter(|step| step.operation == Operation::Load && step.adapter.is_some());
         loads.map(|step| catalogue.spec(step.model).adapter_mb).sum()
     }
 
-    /// Adapter slots in use, counting everything that may be there.
+    /// Adapter slots in use, including everything that may have been loaded.
     pub(crate) fn used_adapters(&self, now: u64) -> usize {
         let held: usize = self.model_records.iter().map(|record| record.adapters.len()).sum();
         held + self.open_uncertain_loads(now).filter(|uncertain| uncertain.adapter.is_some()).count()
     }
 
-    /// Whether a step may be sent without going over the worker's room.
-    pub(crate) fn has_room(&self, now: u64, step: &Step, engine: &Engine, catalogue: &Catalogue) -> bool {
+    /// Whether a step can be sent without exceeding the worker's memory or adapter slots.
+    pub(crate) fn has_capacity_for(
+        &self,
+        now: u64,
+        step: &Step,
+        engine: &Engine,
+        catalogue: &Catalogue,
+    ) -> bool {
         if step.operation == Operation::Unload {
             return true;
         }
@@ -280,7 +285,7 @@
         slot_free && self.used_mb(now, catalogue) + size <= engine.weights_mb + ROUNDING_MB
     }
 
-    /// What requests may be sent to it for.
+    /// Resident models and adapters that requests may be routed to.
     pub(crate) fn served_models(&self, catalogue: &Catalogue) -> Vec<Resident> {
         let serving = self.model_records.iter().filter(|record| record.phase == Phase::Resident);
         serving
@@ -291,8 +296,8 @@
             .collect()
     }
 
-    /// Replaces the record by what the worker itself says; keeps since when a model stands.
-    pub(crate) fn replace_record(
+    /// Replaces the model records by a worker's own list; known models keep their `since`.
+    pub(crate) fn replace_model_records(
         &mut self,
         now: u64,
         models: &[Resident],
@@ -311,8 +316,8 @@
         self.model_records = recorded;
     }
 
-    /// Whether the heartbeat's list names the same models and adapters as the record.
-    pub(crate) fn matches(&self, models: &[Resident], catalogue: &Catalogue) -> bool {
+    /// Whether a heartbeat lists the same models and adapters as the record.
+    pub(crate) fn matches_heartbeat(&self, models: &[Resident], catalogue: &Catalogue) -> bool {
         same_residents(&self.served_models(catalogue), models)
     }
 
@@ -322,7 +327,7 @@
             .filter(move |uncertain| now < uncertain.until && !self.is_recorded(uncertain))
     }
 
-    /// Whether what is doubted stands in the record already.
+    /// Whether the record already includes an uncertain load.
     fn is_recorded(&self, uncertain: &UncertainLoad) -> bool {
         self.model_record(uncertain.model).is_some_and(|record| {
             uncertain.adapter.as_ref().is_none_or(|adapter| record.adapters.contains_key(adapter))
@@ -330,7 +335,7 @@
     }
 }
 
-/// Whether two lists name the same models and adapters, whatever their order.
+/// Whether two lists name the same models and adapters, regardless of order.
 pub(crate) fn same_residents(left: &[Resident], right: &[Resident]) -> bool {
     let sorted = |residents: &[Resident]| {
         let pairs = residents.iter().map(|resident| {
