--- a/src/data_plane/tests.rs
+++ b/src/data_plane/tests.rs
@@ -1,19 +1,19 @@
 //! Tests of the parts without sockets.
 
-mod client_leaves;
+mod client_disconnect;
+mod close_delimited;
+mod connection_reuse;
 mod every_byte;
-mod kept_connections;
-mod planned_work;
-mod process_end;
+mod graceful_shutdown;
+pub(crate) mod harness;
+mod planned_maintenance;
 mod reachability;
 mod refusals;
 mod request_log;
-pub(crate) mod rig;
 pub(crate) mod scripted_worker;
-mod silent_worker;
+mod stalled_worker;
 mod statistics;
 mod time_limits;
-mod unframed;
 
 use super::descriptors::DescriptorShares;
 use super::event_stream::EventSplitter;
--- a/src/data_plane/tests/client_leaves.rs
+++ b/src/data_plane/tests/client_disconnect.rs
@@ -1,6 +1,8 @@
 //! A client leaves at each moment: nothing reaches a worker afterwards, and a worker at work is left at once.
 
-use super::rig::{paused, request_bytes, worker_view, MemoryRig, RouteUnderTest, ALL_ROUTES, LATE, TIMEOUT};
+use super::harness::{
+    paused, request_bytes, worker_view, MemoryRig, RouteUnderTest, ALL_ROUTES, LATE, TIMEOUT,
+};
 use super::scripted_worker::{Failure, Plan, Position, ReadRequest};
 use googletest::prelude::*;
 use std::rc::Rc;
--- a/src/data_plane/tests/unframed.rs
+++ b/src/data_plane/tests/close_delimited.rs
@@ -1,6 +1,6 @@
 //! Answers without a length: whole where their connection ends in order, broken where it is reset.
 
-use super::rig::{paused, unframed_answer, Answered, MemoryRig, RouteUnderTest};
+use super::harness::{paused, unframed_answer, Answered, MemoryRig, RouteUnderTest};
 use super::scripted_worker::{Answer, Failure, Plan, Position, ReadRequest};
 use googletest::prelude::*;
 use std::rc::Rc;
--- a/src/data_plane/tests/kept_connections.rs
+++ b/src/data_plane/tests/connection_reuse.rs
@@ -1,6 +1,6 @@
 //! Connections that are kept: surplus bytes, late answers, early answers and connections that were lost.
 
-use super::rig::{
+use super::harness::{
     paused, refusal, request_bytes, stamped_failure, worker_view, Answered, MemoryRig, RouteUnderTest,
     ALL_ROUTES,
 };
@@ -200,7 +200,7 @@
                             rig.workers.fail(failure);
                             client.write_all(&bytes).await.expect("window");
                         }
-                        let answered = super::rig::read_to_end(client).await;
+                        let answered = super::harness::read_to_end(client).await;
                         expect_that!((answered.status, rig.runs("q2")), eq((200, 1)), "{case}: {answered:?}");
                     });
                 }
--- a/src/data_plane/tests/every_byte.rs
+++ b/src/data_plane/tests/every_byte.rs
@@ -1,7 +1,7 @@
 //! A worker's connection fails at every byte of a request and of its answer, in every way, on every kind of
 //! route. What the client sees and how often the request is sent is compared with what the rules allow.
 
-use super::rig::{paused, Answered, MemoryRig, RouteUnderTest, ALL_ROUTES, LATE, TIMEOUT};
+use super::harness::{paused, Answered, MemoryRig, RouteUnderTest, ALL_ROUTES, LATE, TIMEOUT};
 use super::scripted_worker::{Answer, Failure, Plan, Position, ReadRequest, ALL_FAILURES};
 use googletest::prelude::*;
 use std::rc::Rc;
--- a/src/data_plane/tests/process_end.rs
+++ b/src/data_plane/tests/graceful_shutdown.rs
@@ -1,7 +1,7 @@
 //! The end of the process cuts no request that was taken after the process was told to end: such a request is either
 //! answered whole or refused at once, with a promise and the time to come back.
 
-use super::rig::{
+use super::harness::{
     paused, read_to_end, refusal, request_bytes, settings, view, worker_view, Answered, MemoryRig,
     RouteUnderTest, ALL_ROUTES,
 };
--- a/src/data_plane/tests/planned_work.rs
+++ b/src/data_plane/tests/planned_maintenance.rs
@@ -1,6 +1,6 @@
 //! Planned work: a new configuration, new settings and the end of the process break no answer off.
 
-use super::rig::{
+use super::harness::{
     paused, read_to_end, request_bytes, settings, worker_view, Answered, MemoryRig, RouteUnderTest,
     ALL_ROUTES,
 };
--- a/src/data_plane/tests/reachability.rs
+++ b/src/data_plane/tests/reachability.rs
@@ -5,7 +5,7 @@
 use super::super::pool::{LeaseError, LeaseLimits, Pool};
 use super::super::shared::Shared;
 use super::super::shutdown::ShutdownHandle;
-use super::rig::{paused, settings};
+use super::harness::{paused, settings};
 use googletest::prelude::*;
 use std::io::{Error, ErrorKind};
 use std::net::SocketAddr;
--- a/src/data_plane/tests/refusals.rs
+++ b/src/data_plane/tests/refusals.rs
@@ -1,6 +1,6 @@
 //! Refusals with proof that the request did not run.
 
-use super::rig::{paused, MemoryRig, ALL_ROUTES};
+use super::harness::{paused, MemoryRig, ALL_ROUTES};
 use super::scripted_worker::{Answer, Plan, ReadRequest};
 use googletest::prelude::*;
 use std::rc::Rc;
--- a/src/data_plane/tests/silent_worker.rs
+++ b/src/data_plane/tests/stalled_worker.rs
@@ -1,7 +1,7 @@
 //! Streams of a worker that falls silent, or that leaves: they go on elsewhere only once another worker speaks, and
 //! stay where they are until then.
 
-use super::rig::{
+use super::harness::{
     paused, read_to_end, refusal, request_bytes, stamped_failure, worker_view, Answered, MemoryRig,
     RouteUnderTest, ALL_ROUTES,
 };
--- a/src/data_plane/tests/time_limits.rs
+++ b/src/data_plane/tests/time_limits.rs
@@ -1,7 +1,7 @@
 //! Every request has its final answer within half a second of its route's time limit, whatever is silent; and the
 //! time handed to workers is what is left of the client's, on each attempt.
 
-use super::rig::{
+use super::harness::{
     paused, read_to_end, refusal, request_bytes, worker_view, Answered, MemoryRig, RouteUnderTest,
     ALL_ROUTES, LATE, TIMEOUT,
 };
