--- a/src/data_plane/tests/every_byte.rs
+++ b/src/data_plane/tests/every_byte.rs
@@ -1,192 +1,214 @@
-//! A worker's connection fails at every byte of a request and of its answer, in every way, on every kind of
-//! route. What the client sees and how often the request is sent is compared with what the rules allow.
-
-use super::harness::{paused, Answered, MemoryRig, RouteUnderTest, ALL_ROUTES, LATE, TIMEOUT};
-use super::scripted_worker::{Answer, Failure, Plan, Position, ReadRequest, ALL_FAILURES};
+//! A worker connection fails at every byte of a request and of its response, in every way and on every kind of
+//! route. The response to the client and the number of attempts are compared with what is allowed.
+
+use super::harness::{
+    run_in_paused_time, ClientResponse, InMemoryHarness, RouteUnderTest, ALL_ROUTES, RESPONSE_TOLERANCE,
+    ROUTE_TIMEOUT,
+};
+use super::scripted_worker::{Failure, FailurePoint, Plan, ReceivedRequest, ResponseFn, ALL_FAILURES};
 use googletest::prelude::*;
 use std::rc::Rc;
 
 const ID: &str = "q1";
 const BODY: &str = "a body";
 
-/// What the rules allow for one position.
+/// Allowed outcome for one failure point.
 #[derive(Debug)]
 struct Allowed {
-    /// Times that the request may be sent to a worker.
-    sent: usize,
-    /// Statuses that the client may see.
+    /// How often the request may be sent to a worker.
+    max_attempts: usize,
+    /// Statuses that the client may receive; 0 stands for no response head.
     statuses: &'static [u16],
-    /// Whether the answer has to be whole.
-    whole: bool,
+    /// Whether the response must be complete.
+    complete: bool,
 }
 
-/// One failure.
+/// One failure at one point.
 #[derive(Debug, Clone, Copy)]
 struct Case {
     route: RouteUnderTest,
-    position: Position,
+    point: FailurePoint,
     failure: Failure,
-    /// Bytes of the head of the answer, and of all of it.
-    head: usize,
-    all: usize,
+    /// Length of the response head, and of the whole response, in bytes.
+    head_length: usize,
+    response_length: usize,
 }
 
 impl Case {
-    /// The table of the rules.
+    /// The allowed outcome.
     fn allowed(self) -> Allowed {
-        let answered = self.position == Position::Answer(self.all);
-        let has_head = matches!(self.position, Position::Answer(sent) if sent >= self.head);
-        let silent = self.failure == Failure::Silence;
-        if answered {
-            return Allowed { sent: 1, statuses: &[200], whole: true };
+        let is_response_complete = self.point == FailurePoint::Response(self.response_length);
+        let has_head = matches!(self.point, FailurePoint::Response(sent) if sent >= self.head_length);
+        let stalls = self.failure == Failure::Stall;
+        if is_response_complete {
+            return Allowed { max_attempts: 1, statuses: &[200], complete: true };
         }
         match self.route {
-            // Another worker answers, unless nothing tells that the first one never will.
-            RouteUnderTest::Safe | RouteUnderTest::Resumable if !silent => {
-                Allowed { sent: 2, statuses: &[200], whole: true }
+            // Another worker responds, unless nothing shows that the first one never will.
+            RouteUnderTest::Safe | RouteUnderTest::Resumable if !stalls => {
+                Allowed { max_attempts: 2, statuses: &[200], complete: true }
+            }
+            RouteUnderTest::Safe => Allowed { max_attempts: 2, statuses: &[200, 504], complete: false },
+            RouteUnderTest::Resumable if has_head => {
+                Allowed { max_attempts: 2, statuses: &[200], complete: false }
+            }
+            RouteUnderTest::Resumable => Allowed { max_attempts: 2, statuses: &[200, 504], complete: false },
+            // A head that is forwarded together with the end of its connection may be lost with it.
+            RouteUnderTest::Streaming if has_head => {
+                Allowed { max_attempts: 1, statuses: &[200, 0], complete: false }
             }
-            RouteUnderTest::Safe => Allowed { sent: 2, statuses: &[200, 504], whole: false },
-            RouteUnderTest::Resumable if has_head => Allowed { sent: 2, statuses: &[200], whole: false },
-            RouteUnderTest::Resumable => Allowed { sent: 2, statuses: &[200, 504], whole: false },
-            // A head that is passed on together with the end of its connection may be lost with it.
-            RouteUnderTest::Streaming if has_head => Allowed { sent: 1, statuses: &[200, 0], whole: false },
-            // It may have run: neither repeated nor said not to have run.
+            // The request may have run: it is neither retried nor reported as not run.
             RouteUnderTest::Unsafe | RouteUnderTest::Streaming => {
-                Allowed { sent: 1, statuses: if silent { &[504] } else { &[502] }, whole: false }
+                Allowed { max_attempts: 1, statuses: if stalls { &[504] } else { &[502] }, complete: false }
             }
         }
     }
 
-    /// Why what happened breaks the rules, if it does.
-    fn judge(self, answered: &Answered, arrivals: usize, runs: usize) -> std::result::Result<(), String> {
+    /// Checks the outcome against what is allowed.
+    fn check(
+        self,
+        response: &ClientResponse,
+        arrivals: usize,
+        runs: usize,
+    ) -> std::result::Result<(), String> {
         let allowed = self.allowed();
-        let body = self.route.whole_body(ID);
-        let told = |reason: &str| Err(format!("{self:?}: {reason}: {answered:?}, allowed {allowed:?}"));
-        if !answered.ended || answered.took > TIMEOUT + LATE {
-            return told("no end in time");
+        let body = self.route.expected_body(ID);
+        let violation = |reason: &str| Err(format!("{self:?}: {reason}: {response:?}, allowed {allowed:?}"));
+        if !response.connection_closed || response.elapsed > ROUTE_TIMEOUT + RESPONSE_TOLERANCE {
+            return violation("not closed in time");
         }
-        if !allowed.statuses.contains(&answered.status) {
-            return told("a status that is not allowed");
+        if !allowed.statuses.contains(&response.status) {
+            return violation("status not allowed");
         }
-        if arrivals > allowed.sent {
-            return told(&format!("sent {arrivals} times"));
+        if arrivals > allowed.max_attempts {
+            return violation(&format!("sent {arrivals} times"));
         }
         if runs > 1 && !self.route.is_idempotent() {
-            return told(&format!("run {runs} times"));
+            return violation(&format!("run {runs} times"));
         }
-        if answered.surplus > 0 {
-            return told("bytes after the answer");
+        if response.trailing_bytes > 0 {
+            return violation("bytes after the response");
         }
-        let is_success = answered.status == 200;
-        if is_success && (answered.complete || allowed.whole) && (answered.body != body || !answered.complete)
+        let is_success = response.status == 200;
+        if is_success
+            && (response.complete || allowed.complete)
+            && (response.body != body || !response.complete)
         {
-            return told("a wrong body");
+            return violation("wrong body");
         }
-        if is_success && !body.starts_with(&answered.body) {
-            return told("a wrong beginning");
+        if is_success && !body.starts_with(&response.body) {
+            return violation("wrong beginning of the body");
         }
-        if is_success && answered.header("response-stamp").is_none() {
-            return told("a success without a stamp");
+        if is_success && response.header("response-stamp").is_none() {
+            return violation("success without a stamp");
         }
-        if !is_success && (answered.header("response-stamp").is_some() || !answered.body.is_empty()) {
-            return told("a failure with parts of a worker's answer");
+        if !is_success && (response.header("response-stamp").is_some() || !response.body.is_empty()) {
+            return violation("error response with parts of a worker's response");
         }
         Ok(())
     }
 }
 
-/// Lengths of a request as a worker gets it, of the head of its answer, and of the whole answer.
-async fn lengths(route: RouteUnderTest, answer: &Answer) -> (usize, usize, usize) {
-    let mut rig = MemoryRig::start();
-    rig.workers.plan(Plan { ends: Some(Failure::Close), ..Plan::answering(answer.clone()) });
-    rig.ask(route, ID, "", BODY).await;
-    let seen = rig.workers.seen.borrow();
-    let request = &seen.runs[0];
+/// Lengths of a request as received by a worker, of the response head, and of the whole response.
+async fn lengths(route: RouteUnderTest, respond: &ResponseFn) -> (usize, usize, usize) {
+    let mut harness = InMemoryHarness::start();
+    harness
+        .workers
+        .push_plan(Plan { end_after_response: Some(Failure::Close), ..Plan::responding(respond.clone()) });
+    harness.exchange(route, ID, "", BODY).await;
+    let observed = harness.workers.observed.borrow();
+    let request = &observed.runs[0];
     let headers: usize = request.headers.iter().map(|(name, value)| name.len() + value.len() + 4).sum();
-    let answer = answer(request);
-    // Interim heads come before it.
-    let begin = answer.windows(12).position(|begin| begin == b"HTTP/1.1 200").expect("a final head");
-    let head = begin + answer[begin..].windows(4).position(|end| end == b"\r\n\r\n").expect("an end") + 4;
-    (request.line.len() + 2 + headers + 2 + request.body.len(), head, answer.len())
+    let response = respond(request);
+    // Interim responses precede the final head.
+    let start =
+        response.windows(12).position(|start| start == b"HTTP/1.1 200").expect("a final response head");
+    let head_length = start
+        + response[start..].windows(4).position(|end| end == b"\r\n\r\n").expect("an end of the head")
+        + 4;
+    (request.request_line.len() + 2 + headers + 2 + request.body.len(), head_length, response.len())
 }
 
-async fn try_case(case: Case, answer: &Answer) -> std::result::Result<(), String> {
-    let mut rig = MemoryRig::start();
-    rig.workers.plan(Plan::answering(answer.clone()).failing(case.position, case.failure));
-    rig.workers.otherwise(Plan::answering(case.route.answer()));
-    let answered = rig.ask(case.route, ID, "", BODY).await;
-    let arrivals = rig.workers.seen.borrow().arrivals.len();
-    case.judge(&answered, arrivals, rig.runs(ID))?;
-    let is_kept_and_silent = case.position == Position::Answer(case.all) && case.failure == Failure::Silence;
-    if !is_kept_and_silent {
-        rig.serves_another(case.route, "q2").await.map_err(|error| format!("{case:?}: {error}"))?;
+async fn run_case(case: Case, respond: &ResponseFn) -> std::result::Result<(), String> {
+    let mut harness = InMemoryHarness::start();
+    harness.workers.push_plan(Plan::responding(respond.clone()).with_failure(case.point, case.failure));
+    harness.workers.set_default_plan(Plan::responding(case.route.respond_fn()));
+    let response = harness.exchange(case.route, ID, "", BODY).await;
+    let arrivals = harness.workers.observed.borrow().arrivals.len();
+    case.check(&response, arrivals, harness.run_count(ID))?;
+    let stalls_after_response =
+        case.point == FailurePoint::Response(case.response_length) && case.failure == Failure::Stall;
+    if !stalls_after_response {
+        harness.check_next_request(case.route, "q2").await.map_err(|error| format!("{case:?}: {error}"))?;
     }
-    // What was sent once must not run later either.
-    case.judge(&answered, arrivals, rig.runs(ID))?;
-    let faults = rig.workers.seen.borrow().faults.clone();
-    match faults.is_empty() {
+    // A request that was sent must not run again later either.
+    case.check(&response, arrivals, harness.run_count(ID))?;
+    let malformed = harness.workers.observed.borrow().malformed.clone();
+    match malformed.is_empty() {
         true => Ok(()),
-        false => Err(format!("{case:?}: a worker read what is no request: {faults:?}")),
+        false => Err(format!("{case:?}: a worker received a malformed request: {malformed:?}")),
     }
 }
 
-/// Tries every position with every failure and counts the cases.
-fn try_all(
+/// Runs every failure at every point and counts the cases.
+fn run_all_cases(
     route: RouteUnderTest,
-    answer: &Answer,
+    respond: &ResponseFn,
     failures: &[Failure],
 ) -> std::result::Result<usize, String> {
-    let (request, head, all) = paused(lengths(route, answer));
-    let positions = (0..request).map(Position::Request).chain((0..=all).map(Position::Answer));
-    let mut tried = 0;
-    for position in positions {
+    let (request_length, head_length, response_length) = run_in_paused_time(lengths(route, respond));
+    let points = (0..request_length)
+        .map(FailurePoint::Request)
+        .chain((0..=response_length).map(FailurePoint::Response));
+    let mut count = 0;
+    for point in points {
         for failure in failures {
-            let case = Case { route, position, failure: *failure, head, all };
-            paused(try_case(case, answer))?;
-            tried += 1;
+            let case = Case { route, point, failure: *failure, head_length, response_length };
+            run_in_paused_time(run_case(case, respond))?;
+            count += 1;
         }
     }
-    Ok(tried)
+    Ok(count)
 }
 
-fn expect_all(route: RouteUnderTest, answer: &Answer, least: usize) {
-    let tried = try_all(route, answer, &ALL_FAILURES);
-    expect_that!(tried, ok(gt(&least)), "{}", route.name());
+fn expect_all_allowed(route: RouteUnderTest, respond: &ResponseFn, min_cases: usize) {
+    let count = run_all_cases(route, respond, &ALL_FAILURES);
+    expect_that!(count, ok(gt(&min_cases)), "{}", route.name());
 }
 
 #[gtest]
-fn a_failure_at_any_byte_of_a_safe_request_is_made_good_at_another_worker() {
-    expect_all(RouteUnderTest::Safe, &RouteUnderTest::Safe.answer(), 1000);
+fn a_failure_at_any_byte_of_a_safe_request_is_retried_at_another_worker() {
+    expect_all_allowed(RouteUnderTest::Safe, &RouteUnderTest::Safe.respond_fn(), 1000);
 }
 
 #[gtest]
-fn a_failure_at_any_byte_of_an_unsafe_request_is_never_repeated() {
-    expect_all(RouteUnderTest::Unsafe, &RouteUnderTest::Unsafe.answer(), 1000);
+fn a_failure_at_any_byte_of_an_unsafe_request_is_never_retried() {
+    expect_all_allowed(RouteUnderTest::Unsafe, &RouteUnderTest::Unsafe.respond_fn(), 1000);
 }
 
 #[gtest]
-fn a_failure_at_any_byte_of_a_stream_is_never_repeated_and_shows() {
-    expect_all(RouteUnderTest::Streaming, &RouteUnderTest::Streaming.answer(), 1000);
+fn a_failure_at_any_byte_of_a_stream_is_visible_and_never_retried() {
+    expect_all_allowed(RouteUnderTest::Streaming, &RouteUnderTest::Streaming.respond_fn(), 1000);
 }
 
 #[gtest]
-fn a_failure_at_any_byte_of_a_resumable_stream_loses_and_doubles_no_event() {
-    expect_all(RouteUnderTest::Resumable, &RouteUnderTest::Resumable.answer(), 1000);
+fn a_failure_at_any_byte_of_a_resumable_stream_neither_loses_nor_duplicates_events() {
+    expect_all_allowed(RouteUnderTest::Resumable, &RouteUnderTest::Resumable.respond_fn(), 1000);
 }
 
-/// The route's answer after two interim ones.
-fn with_interim_answers(route: RouteUnderTest) -> Answer {
-    let answer = route.answer();
-    Rc::new(move |request: &ReadRequest| {
+/// The route's response after two interim responses.
+fn with_interim_responses(route: RouteUnderTest) -> ResponseFn {
+    let respond = route.respond_fn();
+    Rc::new(move |request: &ReceivedRequest| {
         let interim =
             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nRequest-Id: q0\r\nLink: x\r\n\r\n";
-        [interim.as_bytes(), &answer(request)].concat()
+        [interim.as_bytes(), &respond(request)].concat()
     })
 }
 
 #[gtest]
-fn a_failure_at_any_byte_of_interim_answers_changes_none_of_this() {
+fn a_failure_at_any_byte_of_interim_responses_has_the_same_outcomes() {
     for route in ALL_ROUTES {
-        expect_all(route, &with_interim_answers(route), 1200);
+        expect_all_allowed(route, &with_interim_responses(route), 1200);
     }
 }
--- a/src/data_plane/tests/harness.rs
+++ b/src/data_plane/tests/harness.rs
@@ -1,6 +1,6 @@
-//! A data plane between a client and workers, all in memory and in paused time.
+//! Test harness: a data plane between a client and workers, all in memory and in paused time.
 
-use super::scripted_worker::{Answer, MemoryConnector, Plan, ReadRequest, Workers};
+use super::scripted_worker::{MemoryConnector, Plan, ReceivedRequest, ResponseFn, Workers};
 use crate::data_plane::drain::shut_down;
 use crate::data_plane::ingress;
 use crate::data_plane::pool::Pool;
@@ -21,17 +21,17 @@
 use tokio::task::{JoinHandle, JoinSet, LocalSet};
 use tokio::time::Instant;
 
-/// Time limit of the routes.
-pub(crate) const TIMEOUT: Duration = Duration::from_millis(2000);
+/// `timeoutMs` of the test routes.
+pub(crate) const ROUTE_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// Bound that the rules set on answers after the time limit.
-pub(crate) const LATE: Duration = Duration::from_millis(500);
+/// Time after the route's time limit by which the final response must have arrived.
+pub(crate) const RESPONSE_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// Bytes of a connection that the network takes before the other side reads.
-const WINDOW: usize = 1 << 20;
+/// Bytes that a connection buffers before the other side reads.
+const CONNECTION_BUFFER_BYTES: usize = 1 << 20;
 
-/// Runs a test in paused time, with the same luck each time.
-pub(crate) fn paused<T>(test: impl Future<Output = T>) -> T {
+/// Runs a test in paused time and with a fixed random seed.
+pub(crate) fn run_in_paused_time<T>(test: impl Future<Output = T>) -> T {
     fastrand::seed(7);
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build().expect("runtime");
@@ -39,7 +39,7 @@
     local.block_on(&runtime, test)
 }
 
-/// The four kinds of routes that differ in what may be repeated.
+/// The four kinds of routes, which differ in what may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RouteUnderTest {
     Safe,
@@ -66,33 +66,33 @@
         matches!(self, RouteUnderTest::Safe | RouteUnderTest::Resumable)
     }
 
-    /// Whether its answers are series of events.
+    /// Whether its responses are event streams.
     pub(crate) fn is_stream(self) -> bool {
         matches!(self, RouteUnderTest::Streaming | RouteUnderTest::Resumable)
     }
 
-    /// How a healthy worker answers.
-    pub(crate) fn answer(self) -> Answer {
+    /// How a healthy worker responds.
+    pub(crate) fn respond_fn(self) -> ResponseFn {
         if self.is_stream() {
-            Rc::new(stream_answer)
+            Rc::new(stream_response)
         } else {
-            Rc::new(plain_answer)
+            Rc::new(response_with_length)
         }
     }
 
-    /// The body that a client has to get.
-    pub(crate) fn whole_body(self, id: &str) -> String {
+    /// The body that a client must receive.
+    pub(crate) fn expected_body(self, id: &str) -> String {
         match self.is_stream() {
-            true => (1..=LAST_EVENT).map(|event| event_text(id, event)).collect(),
-            false => plain_body(id),
+            true => (1..=LAST_EVENT_ID).map(|event| event_text(id, event)).collect(),
+            false => response_body(id),
         }
     }
 }
 
-/// Events of a stream.
-pub(crate) const LAST_EVENT: u64 = 3;
+/// Id of the last event of a stream; the ids start at 1.
+pub(crate) const LAST_EVENT_ID: u64 = 3;
 
-fn plain_body(id: &str) -> String {
+fn response_body(id: &str) -> String {
     format!("answer to {id}")
 }
 
@@ -100,9 +100,9 @@
     format!("id: {event}\ndata: {id}/{event}\n\n")
 }
 
-fn plain_answer(request: &ReadRequest) -> Vec<u8> {
+fn response_with_length(request: &ReceivedRequest) -> Vec<u8> {
     let id = request.header("request-id");
-    let body = plain_body(id);
+    let body = response_body(id);
     format!(
         "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Stamp: s\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -110,15 +110,15 @@
     .into_bytes()
 }
 
-/// The same answer without a length: it ends with its connection.
-pub(crate) fn unframed_answer(request: &ReadRequest) -> Vec<u8> {
+/// The same response without `Content-Length`: the end of the connection delimits it.
+pub(crate) fn close_delimited_response(request: &ReceivedRequest) -> Vec<u8> {
     let id = request.header("request-id");
-    let body = plain_body(id);
+    let body = response_body(id);
     format!("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Stamp: s\r\n\r\n{body}").into_bytes()
 }
 
-/// A refusal that proves that the request did not run.
-pub(crate) fn refusal(request: &ReadRequest) -> Vec<u8> {
+/// A refusal that proves that the request has not run.
+pub(crate) fn not_executed_response(request: &ReceivedRequest) -> Vec<u8> {
     let id = request.header("request-id");
     format!(
         "HTTP/1.1 503 Service Unavailable\r\nRequest-Id: {id}\r\nNot-Executed: full\r\nContent-Length: 2\r\n\r\nno"
@@ -126,29 +126,29 @@
     .into_bytes()
 }
 
-/// A failure that the worker counts as run.
-pub(crate) fn stamped_failure(request: &ReadRequest) -> Vec<u8> {
+/// An error response whose stamp shows that the request has run.
+pub(crate) fn stamped_error_response(request: &ReceivedRequest) -> Vec<u8> {
     let id = request.header("request-id");
     format!("HTTP/1.1 500 X\r\nRequest-Id: {id}\r\nResponse-Stamp: s\r\nContent-Length: 0\r\n\r\n")
         .into_bytes()
 }
 
-fn stream_answer(request: &ReadRequest) -> Vec<u8> {
+fn stream_response(request: &ReceivedRequest) -> Vec<u8> {
     let id = request.header("request-id");
     let after: u64 = request.header("last-event-id").parse().unwrap_or(0);
-    let mut answer = format!(
+    let mut response = format!(
         "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Stamp: s\r\n\
          Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     );
-    for event in after + 1..=LAST_EVENT {
+    for event in after + 1..=LAST_EVENT_ID {
         let text = event_text(id, event);
-        answer.push_str(&format!("{:x}\r\n{text}\r\n", text.len()));
+        response.push_str(&format!("{:x}\r\n{text}\r\n", text.len()));
     }
-    answer.push_str("0\r\n\r\n");
-    answer.into_bytes()
+    response.push_str("0\r\n\r\n");
+    response.into_bytes()
 }
 
-/// The bytes of a request; a client that asks for one answer only closes after it.
+/// The bytes of a request. With `Connection: close` in `headers` the connection closes after the response.
 pub(crate) fn request_bytes(route: RouteUnderTest, id: &str, headers: &str, body: &str) -> Vec<u8> {
     format!(
         "POST /{}/x?y=1 HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: {id}\r\nContent-Length: {}\r\n{headers}\r\n{body}",
@@ -159,103 +159,103 @@
 }
 
 /// A data plane with two workers.
-pub(crate) struct MemoryRig {
+pub(crate) struct InMemoryHarness {
     pub(crate) shared: Rc<Shared>,
     pub(crate) workers: Rc<Workers>,
     tasks: JoinSet<()>,
-    end: Option<JoinHandle<()>>,
+    shutdown_task: Option<JoinHandle<()>>,
     _feedback: mpsc::UnboundedReceiver<Feedback>,
 }
 
-impl MemoryRig {
-    /// Starts one that knows its routes and two workers.
-    pub(crate) fn start() -> MemoryRig {
-        let rig = MemoryRig::without_configuration();
-        rig.tell(vec![worker_view(1), worker_view(2)]);
-        rig
+impl InMemoryHarness {
+    /// Starts a data plane with all routes and two workers.
+    pub(crate) fn start() -> InMemoryHarness {
+        let harness = InMemoryHarness::start_unconfigured();
+        harness.publish_workers(vec![worker_view(1), worker_view(2)]);
+        harness
     }
 
-    /// Starts one that knows nothing.
-    pub(crate) fn without_configuration() -> MemoryRig {
+    /// Starts a data plane without a configuration.
+    pub(crate) fn start_unconfigured() -> InMemoryHarness {
         let workers = Rc::new(Workers::default());
-        let (tell, feedback) = mpsc::unbounded_channel();
-        let mut shared = Shared::new(settings(), tell, ShutdownHandle::new());
+        let (feedback_sender, feedback) = mpsc::unbounded_channel();
+        let mut shared = Shared::new(settings(), feedback_sender, ShutdownHandle::new());
         shared.pool = Pool::with_connector(Rc::new(MemoryConnector(workers.clone())), 1000);
         let shared = Rc::new(shared);
         let mut tasks = JoinSet::new();
         spawn_repeated_work(&shared, &mut tasks);
-        MemoryRig { shared, workers, tasks, end: None, _feedback: feedback }
+        InMemoryHarness { shared, workers, tasks, shutdown_task: None, _feedback: feedback }
     }
 
-    /// Tells a view with these workers.
-    pub(crate) fn tell(&self, workers: Vec<WorkerView>) {
-        self.tell_routes(1, &ALL_ROUTES, workers);
+    /// Publishes a view with all routes and these workers.
+    pub(crate) fn publish_workers(&self, workers: Vec<WorkerView>) {
+        self.publish_view(1, &ALL_ROUTES, workers);
     }
 
-    /// Tells a view with another configuration.
-    pub(crate) fn tell_routes(&self, revision: u64, routes: &[RouteUnderTest], workers: Vec<WorkerView>) {
+    /// Publishes a view with this configuration and these workers.
+    pub(crate) fn publish_view(&self, revision: u64, routes: &[RouteUnderTest], workers: Vec<WorkerView>) {
         self.shared.apply_view(view(revision, routes, workers));
     }
 
-    /// Tells the process to end, as SIGTERM does.
-    pub(crate) fn terminate(&mut self) {
+    /// Begins the shutdown, as SIGTERM does.
+    pub(crate) fn begin_shutdown(&mut self) {
         let shared = self.shared.clone();
         shared.shutdown.begin();
-        self.end = Some(tokio::task::spawn_local(async move { shut_down(&shared).await }));
+        self.shutdown_task = Some(tokio::task::spawn_local(async move { shut_down(&shared).await }));
     }
 
-    /// Waits for the end of a process that was told to end: all its connections are closed.
-    pub(crate) async fn process_end(&mut self) {
-        let end = self.end.take().expect("it was told to end");
-        end.await.expect("the end does not panic");
+    /// Waits for the end of the shutdown, then drops all connections as the end of the process does.
+    pub(crate) async fn wait_for_shutdown(&mut self) {
+        let shutdown_task = self.shutdown_task.take().expect("the shutdown has begun");
+        shutdown_task.await.expect("the shutdown does not panic");
         self.tasks.shutdown().await;
     }
 
-    /// Opens a connection of a client.
+    /// Opens a client connection.
     pub(crate) fn connect(&mut self) -> DuplexStream {
-        self.connect_with(WINDOW)
+        self.connect_with_buffer(CONNECTION_BUFFER_BYTES)
     }
 
-    /// Opens a connection that takes so many bytes before the other side reads.
-    pub(crate) fn connect_with(&mut self, window: usize) -> DuplexStream {
-        let (client, served) = tokio::io::duplex(window);
+    /// Opens a client connection that buffers `capacity` bytes in each direction.
+    pub(crate) fn connect_with_buffer(&mut self, capacity: usize) -> DuplexStream {
+        let (client, served) = tokio::io::duplex(capacity);
         self.tasks.spawn_local(ingress::serve_stream(self.shared.clone(), served));
         client
     }
 
-    /// Sends one request on a connection of its own and reads what comes until that ends.
-    pub(crate) async fn ask(
+    /// Sends one request on a new connection and reads the response until the connection closes.
+    pub(crate) async fn exchange(
         &mut self,
         route: RouteUnderTest,
         id: &str,
         headers: &str,
         body: &str,
-    ) -> Answered {
+    ) -> ClientResponse {
         let headers = format!("Connection: close\r\n{headers}");
         let mut client = self.connect();
-        client.write_all(&request_bytes(route, id, &headers, body)).await.expect("window");
+        client.write_all(&request_bytes(route, id, &headers, body)).await.expect("written");
         read_to_end(client).await
     }
 
-    /// Requests of this id that were run.
-    pub(crate) fn runs(&self, id: &str) -> usize {
-        let seen = self.workers.seen.borrow();
-        seen.runs.iter().filter(|run| run.header("request-id") == id).count()
+    /// How often the request with this id was run.
+    pub(crate) fn run_count(&self, id: &str) -> usize {
+        let observed = self.workers.observed.borrow();
+        observed.runs.iter().filter(|run| run.header("request-id") == id).count()
     }
 
-    /// Sends a request that everything is well for; it has to get its own answer.
-    pub(crate) async fn serves_another(&mut self, route: RouteUnderTest, id: &str) -> Result<(), String> {
-        self.workers.otherwise(Plan::answering(route.answer()));
-        let answered = self.ask(route, id, "", "more").await;
-        let expected = (200, route.whole_body(id), true);
-        match (answered.status, answered.body.clone(), answered.complete) == expected {
+    /// Checks that a request to a healthy worker gets its own complete response.
+    pub(crate) async fn check_next_request(&mut self, route: RouteUnderTest, id: &str) -> Result<(), String> {
+        self.workers.set_default_plan(Plan::responding(route.respond_fn()));
+        let response = self.exchange(route, id, "", "more").await;
+        let expected = (200, route.expected_body(id), true);
+        match (response.status, response.body.clone(), response.complete) == expected {
             true => Ok(()),
-            false => Err(format!("the next request got {answered:?}")),
+            false => Err(format!("the next request got {response:?}")),
         }
     }
 }
 
-impl Drop for MemoryRig {
+impl Drop for InMemoryHarness {
     fn drop(&mut self) {
         if !std::thread::panicking() {
             assert_eq!(self.shared.violations.count(), 0, "an invariant was violated");
@@ -263,7 +263,7 @@
     }
 }
 
-/// A view with this configuration and these workers.
+/// A view with these routes and workers.
 pub(crate) fn view(revision: u64, routes: &[RouteUnderTest], workers: Vec<WorkerView>) -> Arc<View> {
     Arc::new(View {
         document: Some(Arc::new(document(revision, routes))),
@@ -275,45 +275,45 @@
     })
 }
 
-/// What a client gets until its connection ends.
-pub(crate) async fn read_to_end(mut client: DuplexStream) -> Answered {
+/// Reads the response until the connection closes or four times the route timeout has passed.
+pub(crate) async fn read_to_end(mut client: DuplexStream) -> ClientResponse {
     let sent = Instant::now();
     let mut bytes = Vec::new();
-    let read = tokio::time::timeout(4 * TIMEOUT, client.read_to_end(&mut bytes)).await;
-    Answered::read(&bytes, read.is_ok(), sent.elapsed())
+    let read = tokio::time::timeout(4 * ROUTE_TIMEOUT, client.read_to_end(&mut bytes)).await;
+    ClientResponse::parse(&bytes, read.is_ok(), sent.elapsed())
 }
 
-/// What a client got.
+/// The response that a client received.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Answered {
-    /// 0 where there was no head.
+pub(crate) struct ClientResponse {
+    /// 0 if there was no response head.
     pub(crate) status: u16,
     pub(crate) headers: String,
     pub(crate) body: String,
-    /// The body ended as its head announced.
+    /// Whether the body has the length that the head announced, or its final chunk.
     pub(crate) complete: bool,
-    /// The connection ended.
-    pub(crate) ended: bool,
-    /// Bytes after the answer.
-    pub(crate) surplus: usize,
-    pub(crate) took: Duration,
+    /// Whether the connection was closed.
+    pub(crate) connection_closed: bool,
+    /// Number of bytes after the response.
+    pub(crate) trailing_bytes: usize,
+    pub(crate) elapsed: Duration,
 }
 
-impl Answered {
-    fn read(bytes: &[u8], ended: bool, took: Duration) -> Answered {
+impl ClientResponse {
+    fn parse(bytes: &[u8], connection_closed: bool, elapsed: Duration) -> ClientResponse {
         let text = String::from_utf8_lossy(bytes).into_owned();
         let (head, rest) = text.split_once("\r\n\r\n").unwrap_or(("", ""));
         let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
         let headers = head.to_ascii_lowercase();
-        let (body, complete, surplus) = match header(&headers, "content-length") {
-            Some(length) => counted_body(rest, length.parse().expect("a length")),
+        let (body, complete, trailing_bytes) = match header(&headers, "content-length") {
+            Some(length) => body_with_length(rest, length.parse().expect("a length")),
             None if headers.contains("transfer-encoding: chunked") => chunked_body(rest),
             None => (rest.to_owned(), false, 0),
         };
-        Answered { status, headers, body, complete, ended, surplus, took }
+        ClientResponse { status, headers, body, complete, connection_closed, trailing_bytes, elapsed }
     }
 
-    /// A header, if there is one.
+    /// Value of a header, if present.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         header(&self.headers, name)
     }
@@ -323,7 +323,7 @@
     headers.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
 }
 
-fn counted_body(rest: &str, length: usize) -> (String, bool, usize) {
+fn body_with_length(rest: &str, length: usize) -> (String, bool, usize) {
     let end = length.min(rest.len());
     (rest[..end].to_owned(), rest.len() >= length, rest.len() - end)
 }
@@ -331,10 +331,10 @@
 fn chunked_body(mut rest: &str) -> (String, bool, usize) {
     let mut body = String::new();
     while let Some((size, after)) = rest.split_once("\r\n") {
-        let size = usize::from_str_radix(size, 16).expect("a size of a chunk");
+        let size = usize::from_str_radix(size, 16).expect("a chunk size");
         if size == 0 {
-            let whole = after.starts_with("\r\n");
-            return (body, whole, after.len().saturating_sub(2));
+            let is_complete = after.starts_with("\r\n");
+            return (body, is_complete, after.len().saturating_sub(2));
         }
         if after.len() < size + 2 {
             body.push_str(&after[..size.min(after.len())]);
@@ -346,7 +346,7 @@
     (body, false, 0)
 }
 
-/// Settings of the data plane.
+/// Settings of the data plane under test.
 pub(crate) fn settings() -> crate::site_settings::SiteSettings {
     let text = json!({
         "nodeName": "edge-1", "ip": "127.0.0.1", "zone": "here", "portRange": [7660, 7675],
@@ -380,13 +380,13 @@
     };
     json!({
         "name": route.name(), "host": "shop.example", "pathPrefix": format!("/{}/", route.name()),
-        "routeKind": kind, "timeoutMs": TIMEOUT.as_millis() as u64, "targetLatencyMs": 400, "priority": 1,
+        "routeKind": kind, "timeoutMs": ROUTE_TIMEOUT.as_millis() as u64, "targetLatencyMs": 400, "priority": 1,
         "service": "llm", "retries": 2, "sessionAffinity": false,
         "resumable": route == RouteUnderTest::Resumable, "gap_aim_ms": 250,
     })
 }
 
-/// Worker number one or two.
+/// View of a worker whose id and address contain this number.
 pub(crate) fn worker_view(number: u8) -> WorkerView {
     WorkerView {
         id: format!("w{number}"),
--- a/src/data_plane/tests/planned_maintenance.rs
+++ b/src/data_plane/tests/planned_maintenance.rs
@@ -1,10 +1,10 @@
-//! Planned work: a new configuration, new settings and the end of the process break no answer off.
+//! Planned maintenance: a new configuration, new settings and the shutdown interrupt no response.
 
 use super::harness::{
-    paused, read_to_end, request_bytes, settings, worker_view, Answered, MemoryRig, RouteUnderTest,
-    ALL_ROUTES,
+    read_to_end, request_bytes, run_in_paused_time, settings, worker_view, ClientResponse, InMemoryHarness,
+    RouteUnderTest, ALL_ROUTES,
 };
-use super::scripted_worker::{Plan, ReadRequest};
+use super::scripted_worker::{Plan, ReceivedRequest};
 use crate::data_plane::policy;
 use crate::data_plane::shutdown::Phase;
 use googletest::prelude::*;
@@ -12,101 +12,108 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-/// What is done beside a request.
-type Work = (&'static str, fn(&MemoryRig));
+/// Name of an operation that is performed while a request runs, and the operation.
+type Operation = (&'static str, fn(&InMemoryHarness));
 
-fn all_work() -> Vec<Work> {
+fn all_operations() -> Vec<Operation> {
     vec![
-        ("a configuration without the route", |rig| {
-            rig.tell_routes(2, &[RouteUnderTest::Safe], vec![worker_view(1)])
+        ("a configuration without the route", |harness| {
+            harness.publish_view(2, &[RouteUnderTest::Safe], vec![worker_view(1)])
         }),
-        ("a configuration and no worker", |rig| rig.tell_routes(2, &ALL_ROUTES, Vec::new())),
-        ("settings read again", |rig| {
+        ("a configuration without workers", |harness| harness.publish_view(2, &ALL_ROUTES, Vec::new())),
+        ("settings reloaded", |harness| {
             let mut settings = settings();
             settings.bounds.retry_budget_ratio = 0.0;
             settings.bounds.grace_s = 30.0;
-            rig.shared.apply_settings(settings);
+            harness.shared.apply_settings(settings);
         }),
-        ("SIGTERM", |rig| rig.shared.shutdown.begin()),
-        ("the last phase of the end", |rig| rig.shared.shutdown.advance(Phase::Closing)),
+        ("SIGTERM", |harness| harness.shared.shutdown.begin()),
+        ("the closing phase", |harness| harness.shared.shutdown.advance(Phase::Closing)),
     ]
 }
 
 #[gtest]
-fn planned_work_at_any_byte_of_the_answer_breaks_nothing_off() {
+fn maintenance_at_any_byte_of_the_response_interrupts_nothing() {
     for route in ALL_ROUTES {
-        let answer = route.answer();
+        let respond = route.respond_fn();
         let request =
-            ReadRequest { headers: [("request-id".into(), "q1".into())].into(), ..Default::default() };
-        let whole = answer(&request);
-        for (name, work) in all_work() {
-            for sent in 0..whole.len() {
-                let case = format!("{}, {name}, {sent} bytes of the answer", route.name());
-                paused(async {
-                    let mut rig = MemoryRig::start();
-                    let begun = whole[..sent].to_vec();
-                    rig.workers.plan(Plan::answering(Rc::new(move |_: &ReadRequest| begun.clone())));
-                    let mut client = rig.connect();
-                    client.write_all(&request_bytes(route, "q1", "", "a body")).await.expect("window");
+            ReceivedRequest { headers: [("request-id".into(), "q1".into())].into(), ..Default::default() };
+        let bytes = respond(&request);
+        for (name, operation) in all_operations() {
+            for sent in 0..bytes.len() {
+                let case = format!("{}, {name}, {sent} bytes of the response", route.name());
+                run_in_paused_time(async {
+                    let mut harness = InMemoryHarness::start();
+                    let beginning = bytes[..sent].to_vec();
+                    harness
+                        .workers
+                        .push_plan(Plan::responding(Rc::new(move |_: &ReceivedRequest| beginning.clone())));
+                    let mut client = harness.connect();
+                    client.write_all(&request_bytes(route, "q1", "", "a body")).await.expect("written");
                     tokio::time::sleep(Duration::from_millis(5)).await;
-                    work(&rig);
-                    // Longer than connections are served as before once the last phase has begun.
+                    operation(&harness);
+                    // Longer than the time for which connections are still served normally in the closing phase.
                     tokio::time::sleep(policy::CLOSING_GRACE + Duration::from_millis(5)).await;
-                    rig.workers.say(&whole[sent..]);
+                    harness.workers.send(&bytes[sent..]);
                     tokio::time::sleep(Duration::from_millis(5)).await;
-                    // Connections at rest end with the process.
-                    rig.shared.shutdown.advance(Phase::Closing);
-                    let answered = read_to_end(client).await;
+                    // Idle connections are closed in the closing phase.
+                    harness.shared.shutdown.advance(Phase::Closing);
+                    let response = read_to_end(client).await;
                     expect_that!(
-                        (answered.status, answered.complete),
+                        (response.status, response.complete),
                         eq((200, true)),
-                        "{case}: {answered:?}"
+                        "{case}: {response:?}"
                     );
-                    expect_that!(answered.body, eq(&route.whole_body("q1")), "{case}");
-                    expect_that!(rig.runs("q1"), eq(1), "{case}");
+                    expect_that!(response.body, eq(&route.expected_body("q1")), "{case}");
+                    expect_that!(harness.run_count("q1"), eq(1), "{case}");
                 });
             }
         }
     }
 }
 
-/// A time to SIGKILL in which every request of the routes can be answered that is read when SIGTERM comes.
+/// A grace period that is long enough for every request that is read when SIGTERM arrives.
 const LONG_GRACE_S: f64 = 4.0;
 
-/// A time to SIGKILL that is shorter than the time limit of the routes, whose requests may therefore outlast it.
+/// A grace period that is shorter than the time limit of the routes, so that requests may outlast it.
 const SHORT_GRACE_S: f64 = 1.5;
 
-/// Sends a request of which only so many bytes have come when a phase of the end begins.
-async fn ask_across(rig: &mut MemoryRig, phase: Phase, bytes: &[u8], sent: usize) -> Answered {
-    let mut client = rig.connect();
-    client.write_all(&bytes[..sent]).await.expect("window");
+/// Sends a request of which only `sent` bytes have arrived when a phase of the shutdown begins.
+async fn exchange_across_phase(
+    harness: &mut InMemoryHarness,
+    phase: Phase,
+    bytes: &[u8],
+    sent: usize,
+) -> ClientResponse {
+    let mut client = harness.connect();
+    client.write_all(&bytes[..sent]).await.expect("written");
     tokio::time::sleep(Duration::from_millis(5)).await;
-    rig.shared.shutdown.advance(phase);
+    harness.shared.shutdown.advance(phase);
     tokio::time::sleep(Duration::from_millis(5)).await;
-    // It may have been closed.
+    // The connection may have been closed.
     let _ = client.write_all(&bytes[sent..]).await;
     read_to_end(client).await
 }
 
 #[gtest]
-fn a_process_about_to_end_refuses_a_request_that_may_outlast_it_at_any_byte() {
+fn a_shutdown_at_any_byte_refuses_a_request_that_may_outlast_it() {
     for route in ALL_ROUTES {
         let bytes = request_bytes(route, "q1", "", "a body");
         for phase in [Phase::Draining, Phase::Closing] {
             for sent in 0..bytes.len() {
                 let case = format!("{}, {phase:?} after {sent} bytes", route.name());
-                paused(async {
-                    let mut rig = MemoryRig::start();
-                    rig.shared.settings.borrow_mut().bounds.grace_s = SHORT_GRACE_S;
-                    rig.workers.otherwise(Plan::answering(route.answer()));
-                    let answered = ask_across(&mut rig, phase, &bytes, sent).await;
-                    let is_refused = answered.status == 503
-                        && answered.complete
-                        && answered.header("retry-after").is_some()
-                        && answered.header("connection") == Some("close");
-                    let is_unread = answered.status == 0 && phase == Phase::Closing;
-                    expect_that!(is_refused || is_unread, eq(true), "{case}: {answered:?}");
-                    expect_that!(rig.workers.seen.borrow().arrivals.len(), eq(0), "{case}");
+                run_in_paused_time(async {
+                    let mut harness = InMemoryHarness::start();
+                    harness.shared.settings.borrow_mut().bounds.grace_s = SHORT_GRACE_S;
+                    harness.workers.set_default_plan(Plan::responding(route.respond_fn()));
+                    let response = exchange_across_phase(&mut harness, phase, &bytes, sent).await;
+                    let is_refused = response.status == 503
+                        && response.complete
+                        && response.header("retry-after").is_some()
+                        && response.header("connection") == Some("close");
+                    let is_unread = response.status == 0 && phase == Phase::Closing;
+                    expect_that!(is_refused || is_unread, eq(true), "{case}: {response:?}");
+                    expect_that!(harness.workers.observed.borrow().arrivals.len(), eq(0), "{case}");
                 });
             }
         }
@@ -114,24 +121,26 @@
 }
 
 #[gtest]
-fn the_end_of_the_process_at_any_byte_of_a_request_answers_it_or_has_not_run_it() {
+fn a_shutdown_at_any_byte_of_a_request_completes_it_or_does_not_run_it() {
     for route in ALL_ROUTES {
         let bytes = request_bytes(route, "q1", "", "a body");
         for phase in [Phase::Draining, Phase::Closing] {
             for sent in 0..=bytes.len() {
                 let case = format!("{}, {phase:?} after {sent} bytes", route.name());
-                paused(async {
-                    let mut rig = MemoryRig::start();
-                    rig.shared.settings.borrow_mut().bounds.grace_s = LONG_GRACE_S;
-                    rig.workers.otherwise(Plan::answering(route.answer()));
-                    let answered = ask_across(&mut rig, phase, &bytes, sent).await;
-                    let is_answered = answered.status == 200 && answered.complete && rig.runs("q1") == 1;
-                    let is_unread = answered.status == 0 && rig.workers.seen.borrow().arrivals.is_empty();
-                    expect_that!(is_answered || is_unread, eq(true), "{case}: {answered:?}");
-                    let must_answer = phase == Phase::Draining || sent == bytes.len();
-                    expect_that!(is_answered || !must_answer, eq(true), "{case}: {answered:?}");
-                    if is_answered && sent < bytes.len() {
-                        expect_that!(answered.header("connection"), some(eq("close")), "{case}");
+                run_in_paused_time(async {
+                    let mut harness = InMemoryHarness::start();
+                    harness.shared.settings.borrow_mut().bounds.grace_s = LONG_GRACE_S;
+                    harness.workers.set_default_plan(Plan::responding(route.respond_fn()));
+                    let response = exchange_across_phase(&mut harness, phase, &bytes, sent).await;
+                    let is_complete =
+                        response.status == 200 && response.complete && harness.run_count("q1") == 1;
+                    let is_unread =
+                        response.status == 0 && harness.workers.observed.borrow().arrivals.is_empty();
+                    expect_that!(is_complete || is_unread, eq(true), "{case}: {response:?}");
+                    let must_complete = phase == Phase::Draining || sent == bytes.len();
+                    expect_that!(is_complete || !must_complete, eq(true), "{case}: {response:?}");
+                    if is_complete && sent < bytes.len() {
+                        expect_that!(response.header("connection"), some(eq("close")), "{case}");
                     }
                 });
             }
@@ -140,13 +149,13 @@
 }
 
 #[gtest]
-fn a_new_configuration_is_in_force_for_the_next_request() {
-    paused(async {
-        let mut rig = MemoryRig::start();
-        rig.workers.otherwise(Plan::answering(RouteUnderTest::Unsafe.answer()));
-        expect_that!(rig.ask(RouteUnderTest::Unsafe, "q1", "", "").await.status, eq(200));
-        rig.tell_routes(2, &[RouteUnderTest::Safe], vec![worker_view(1)]);
-        expect_that!(rig.ask(RouteUnderTest::Unsafe, "q2", "", "").await.status, eq(404));
-        expect_that!(rig.runs("q2"), eq(0));
+fn a_new_configuration_applies_to_the_next_request() {
+    run_in_paused_time(async {
+        let mut harness = InMemoryHarness::start();
+        harness.workers.set_default_plan(Plan::responding(RouteUnderTest::Unsafe.respond_fn()));
+        expect_that!(harness.exchange(RouteUnderTest::Unsafe, "q1", "", "").await.status, eq(200));
+        harness.publish_view(2, &[RouteUnderTest::Safe], vec![worker_view(1)]);
+        expect_that!(harness.exchange(RouteUnderTest::Unsafe, "q2", "", "").await.status, eq(404));
+        expect_that!(harness.run_count("q2"), eq(0));
     });
 }
--- a/src/data_plane/tests/reachability.rs
+++ b/src/data_plane/tests/reachability.rs
@@ -1,11 +1,11 @@
-//! Why a connection to a worker did not come up, and what the agent is told of it.
+//! Why a connection to a worker could not be established, and how this is reported to the agent.
 
 use super::super::connector::{Connecting, Connector};
 use super::super::feedback::Feedback;
 use super::super::pool::{LeaseError, LeaseLimits, Pool};
 use super::super::shared::Shared;
 use super::super::shutdown::ShutdownHandle;
-use super::harness::{paused, settings};
+use super::harness::{run_in_paused_time, settings};
 use googletest::prelude::*;
 use std::io::{Error, ErrorKind};
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 const LIMITS: LeaseLimits = LeaseLimits { connections: 2, connect: Duration::from_millis(100) };
 const ADDRESS: &str = "10.0.0.1:80";
 
-/// Fails with this error, or never comes up.
+/// Fails to connect with this error, or never completes.
 #[derive(Debug)]
-struct Failing(Option<ErrorKind>);
+struct FailingConnector(Option<ErrorKind>);
 
-impl Connector for Failing {
+impl Connector for FailingConnector {
     fn connect(&self, _address: SocketAddr) -> Connecting {
         let kind = self.0;
         Box::pin(async move {
@@ -33,15 +33,15 @@
 }
 
 #[gtest]
-fn a_refused_connection_is_told_apart_from_one_that_does_not_come_up() {
+fn a_refused_connection_is_distinguished_from_an_unreachable_host() {
     let cases = [
         (Some(ErrorKind::ConnectionRefused), LeaseError::Refused),
         (Some(ErrorKind::HostUnreachable), LeaseError::ConnectFailed),
         (None, LeaseError::ConnectFailed),
     ];
     for (kind, expected) in cases {
-        paused(async {
-            let pool = Pool::with_connector(Rc::new(Failing(kind)), 10);
+        run_in_paused_time(async {
+            let pool = Pool::with_connector(Rc::new(FailingConnector(kind)), 10);
             let leased = pool.lease("w", ADDRESS, LIMITS).await.err();
             expect_that!(leased, some(eq(expected)), "{kind:?}");
             expect_that!(pool.probe("w", ADDRESS, LIMITS).await, err(eq(expected)), "{kind:?}");
@@ -50,16 +50,16 @@
 }
 
 #[gtest]
-fn an_unreachable_worker_is_told_of_once_in_an_interval() {
-    paused(async {
-        let (feedback, mut told) = mpsc::unbounded_channel();
-        let shared = Shared::new(settings(), feedback, ShutdownHandle::new());
+fn an_unreachable_worker_is_reported_once_per_interval() {
+    run_in_paused_time(async {
+        let (feedback_sender, mut feedback) = mpsc::unbounded_channel();
+        let shared = Shared::new(settings(), feedback_sender, ShutdownHandle::new());
         shared.report_unreachable("w1", LeaseError::Refused);
         shared.report_unreachable("w1", LeaseError::Refused);
         shared.report_unreachable("w2", LeaseError::ConnectFailed);
         shared.report_unreachable("w3", LeaseError::PoolExhausted);
         let mut reports = Vec::new();
-        while let Ok(Feedback::Unreachable { worker, refused }) = told.try_recv() {
+        while let Ok(Feedback::Unreachable { worker, refused }) = feedback.try_recv() {
             reports.push((worker, refused));
         }
         expect_that!(reports, eq(&vec![("w1".to_owned(), true), ("w2".to_owned(), false)]));
--- a/src/data_plane/tests/request_log.rs
+++ b/src/data_plane/tests/request_log.rs
@@ -1,4 +1,4 @@
-//! Which requests get a line in the log, and how many lines there may be.
+//! Which requests are logged, and how the number of log lines is limited.
 
 use super::super::replies::LocalReply;
 use super::super::request_log::{LineBudget, RequestEnd, Timeline};
@@ -7,17 +7,17 @@
 use switchhill_configuration::{Document, Route};
 use tokio::time::Instant;
 
-/// A streaming route with an objective of 500 ms and pauses of 200 ms at most.
+/// A streaming route with a latency target of 500 ms and a target of 200 ms for gaps between pieces.
 fn route() -> Route {
     let text = r#"{"revision":1,"routes":[{"name":"chat","host":"h.example","pathPrefix":"/c/","routeKind":"streaming",
         "timeoutMs":5000,"targetLatencyMs":500,"priority":1,"service":"s","retries":1,"gap_aim_ms":200}],
         "services":[{"name":"s","healthCheck":"/health","maxConnections":10,"protocol":"h1","tls":false}],
         "limits":{"maxHeaderBytes":8192,"maxBodyBytes":65536,"headerTimeoutMs":1000,"idleTimeoutMs":15000}}"#;
-    let document = Document::parse(text.as_bytes()).expect("a sound configuration");
+    let document = Document::parse(text.as_bytes()).expect("a valid configuration");
     document.routes()[0].clone()
 }
 
-/// A timeline whose pieces came at these times after the arrival, in milliseconds.
+/// A timeline whose pieces arrived at these times, in milliseconds after the request.
 fn timeline(arrived: Instant, pieces: &[u64], end: RequestEnd) -> Timeline {
     let mut timeline = Timeline::of(&route());
     timeline.sent(arrived, "i-1");
@@ -29,13 +29,13 @@
 }
 
 #[gtest]
-fn a_whole_answer_in_time_gets_no_line() {
+fn a_complete_response_in_time_is_not_logged() {
     let arrived = Instant::now();
     expect_false!(timeline(arrived, &[400, 500, 690], RequestEnd::Answered).is_notable(arrived));
 }
 
 #[gtest]
-fn a_late_first_byte_a_long_pause_a_cut_and_a_refusal_get_a_line() {
+fn a_late_first_byte_a_long_gap_an_incomplete_response_and_a_refusal_are_logged() {
     let arrived = Instant::now();
     expect_true!(timeline(arrived, &[501], RequestEnd::Answered).is_notable(arrived));
     expect_true!(timeline(arrived, &[100, 301], RequestEnd::Answered).is_notable(arrived));
@@ -45,7 +45,7 @@
 }
 
 #[gtest]
-fn lines_are_bounded_and_those_left_out_are_counted() {
+fn log_lines_are_rate_limited_and_suppressed_ones_are_counted() {
     let budget = LineBudget::default();
     let start = Instant::now();
     let written = (0..100).filter(|_| budget.take(start).is_some()).count();
--- a/src/data_plane/tests/scripted_worker.rs
+++ b/src/data_plane/tests/scripted_worker.rs
@@ -1,4 +1,4 @@
-//! Workers in memory, of which a test sets every byte and every failure.
+//! In-memory workers whose responses and connection failures are scripted byte by byte.
 
 use crate::data_plane::connector::{Connecting, Connector, WorkerStream};
 use std::cell::{Cell, RefCell};
@@ -12,118 +12,119 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How a connection fails once its position is reached.
+/// How a connection fails at its failure point.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// Reset; bytes written before it was noticed look written.
+    /// The connection is reset. Writes still report success; only a read reports the reset.
     Reset,
-    /// Reset, noticed by the very next write.
-    ResetAtWrite,
+    /// The connection is reset, and the next write reports it.
+    ResetOnWrite,
     /// The worker closes both directions.
     Close,
-    /// The worker closes its own direction, reads on and runs what it has read.
+    /// The worker closes its sending direction, continues to read and runs the request.
     HalfClose,
-    /// The worker reads on, runs what it has read, and says nothing more.
-    Silence,
+    /// The worker continues to read and runs the request, but sends nothing more.
+    Stall,
 }
 
 pub(crate) const ALL_FAILURES: [Failure; 5] =
-    [Failure::Reset, Failure::ResetAtWrite, Failure::Close, Failure::HalfClose, Failure::Silence];
+    [Failure::Reset, Failure::ResetOnWrite, Failure::Close, Failure::HalfClose, Failure::Stall];
 
 /// Where a connection fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Position {
-    /// After so many bytes of the request have been read.
+pub(crate) enum FailurePoint {
+    /// After the worker has read this many bytes of the request.
     Request(usize),
-    /// After so many bytes of the answer have been sent.
-    Answer(usize),
+    /// After the worker has sent this many bytes of the response.
+    Response(usize),
 }
 
-/// A request as a worker read it.
+/// A request as received by a worker.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct ReadRequest {
-    pub(crate) line: String,
+pub(crate) struct ReceivedRequest {
+    pub(crate) request_line: String,
     pub(crate) headers: HashMap<String, String>,
     pub(crate) body: Vec<u8>,
 }
 
-impl ReadRequest {
-    /// A header, empty if it is absent.
+impl ReceivedRequest {
+    /// Value of a header, or an empty string if it is absent.
     pub(crate) fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// What a worker answers to a request.
-pub(crate) type Answer = Rc<dyn Fn(&ReadRequest) -> Vec<u8>>;
+/// Produces the bytes of a worker's response.
+pub(crate) type ResponseFn = Rc<dyn Fn(&ReceivedRequest) -> Vec<u8>>;
 
-/// What happens to one request at a worker.
+/// Scripted handling of one request by a worker.
 #[derive(Clone)]
 pub(crate) struct Plan {
-    /// The bytes of the answer.
-    pub(crate) answer: Answer,
+    /// Produces the response.
+    pub(crate) respond: ResponseFn,
     /// Where and how the connection fails.
-    pub(crate) failure: Option<(Position, Failure)>,
-    /// The answer is sent once the head is there; the body is read when the test says so.
-    pub(crate) early: bool,
+    pub(crate) failure: Option<(FailurePoint, Failure)>,
+    /// The worker responds as soon as it has the head, and reads the body only after
+    /// [`Workers::resume_reading`].
+    pub(crate) responds_early: bool,
     /// Whether the worker runs the request.
     pub(crate) runs: bool,
-    /// Bytes that belong to no request, sent before the connection's next request is read.
+    /// Bytes sent after the response that belong to no request.
     pub(crate) surplus: Vec<u8>,
-    /// How the connection ends after the answer, unnoticed until the next use.
-    pub(crate) forgotten: bool,
-    /// How the connection ends right after the whole answer.
-    pub(crate) ends: Option<Failure>,
+    /// The connection is lost after the response; the data plane notices only when it reuses it.
+    pub(crate) resets_on_reuse: bool,
+    /// How the connection ends right after the complete response.
+    pub(crate) end_after_response: Option<Failure>,
 }
 
 impl Plan {
-    /// A request that is run and answered.
-    pub(crate) fn answering(answer: Answer) -> Plan {
+    /// Runs the request and responds to it.
+    pub(crate) fn responding(respond: ResponseFn) -> Plan {
         Plan {
-            answer,
+            respond,
             failure: None,
-            early: false,
+            responds_early: false,
             runs: true,
             surplus: Vec::new(),
-            forgotten: false,
-            ends: None,
+            resets_on_reuse: false,
+            end_after_response: None,
         }
     }
 
-    /// The same with a failure.
-    pub(crate) fn failing(self, position: Position, failure: Failure) -> Plan {
-        Plan { failure: Some((position, failure)), ..self }
+    /// The same plan with a connection failure.
+    pub(crate) fn with_failure(self, point: FailurePoint, failure: Failure) -> Plan {
+        Plan { failure: Some((point, failure)), ..self }
     }
 }
 
-/// What the workers have seen.
+/// What the workers have observed.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
-    /// Requests of which a byte was read, by worker, in order.
+pub(crate) struct Observations {
+    /// Worker and arrival time of each request of which at least one byte was read, in order.
     pub(crate) arrivals: Vec<(SocketAddr, Instant)>,
-    /// Requests that were read whole, in order.
-    pub(crate) whole: Vec<ReadRequest>,
+    /// Requests that were read completely, in order.
+    pub(crate) complete_requests: Vec<ReceivedRequest>,
     /// Requests that were run, in order.
-    pub(crate) runs: Vec<ReadRequest>,
-    /// Bytes that were no request.
-    pub(crate) faults: Vec<String>,
-    /// Connections opened.
+    pub(crate) runs: Vec<ReceivedRequest>,
+    /// Request lines of requests that are no POST or have no `Request-Id`.
+    pub(crate) malformed: Vec<String>,
+    /// Number of connections opened.
     pub(crate) connections: u32,
-    /// When the data plane closed a connection on which a request had no whole answer.
-    pub(crate) left: Vec<Instant>,
+    /// When the data plane closed a connection on which a request had no complete response.
+    pub(crate) abandoned: Vec<Instant>,
 }
 
-/// All workers of a test. Plans are taken by requests in the order in which these arrive.
+/// All workers of a test. Each arriving request takes the next plan, whichever worker receives it.
 #[derive(Default)]
 pub(crate) struct Workers {
     plans: RefCell<VecDeque<Plan>>,
-    /// What happens when there is no plan left.
-    otherwise: RefCell<Option<Plan>>,
-    pub(crate) seen: RefCell<Seen>,
-    wires: RefCell<Vec<Rc<RefCell<Wire>>>>,
-    /// Connections hang for now.
+    /// Used once `plans` is empty.
+    default_plan: RefCell<Option<Plan>>,
+    pub(crate) observed: RefCell<Observations>,
+    connections: RefCell<Vec<Rc<RefCell<Connection>>>>,
+    /// Connection attempts stay pending.
     connect_hangs: Cell<bool>,
-    connects_again: Notify,
+    connect_resumed: Notify,
 }
 
 impl std::fmt::Debug for Workers {
@@ -133,57 +134,57 @@
 }
 
 impl Workers {
-    pub(crate) fn plan(&self, plan: Plan) {
+    pub(crate) fn push_plan(&self, plan: Plan) {
         self.plans.borrow_mut().push_back(plan);
     }
 
-    pub(crate) fn otherwise(&self, plan: Plan) {
-        *self.otherwise.borrow_mut() = Some(plan);
+    pub(crate) fn set_default_plan(&self, plan: Plan) {
+        *self.default_plan.borrow_mut() = Some(plan);
     }
 
-    pub(crate) fn connect_hangs(&self, hangs: bool) {
+    pub(crate) fn set_connect_hangs(&self, hangs: bool) {
         self.connect_hangs.set(hangs);
-        self.connects_again.notify_waiters();
+        self.connect_resumed.notify_waiters();
     }
 
-    /// Lets the workers read the bodies they have held up.
-    pub(crate) fn read_on(&self) {
-        for wire in self.wires.borrow().iter() {
-            wire.borrow_mut().held = false;
-            wire.borrow_mut().wake();
+    /// Lets the workers read the request bodies that [`Plan::responds_early`] has paused.
+    pub(crate) fn resume_reading(&self) {
+        for connection in self.connections.borrow().iter() {
+            connection.borrow_mut().read_paused = false;
+            connection.borrow_mut().wake();
         }
     }
 
     /// Fails all open connections.
-    pub(crate) fn fail(&self, failure: Failure) {
-        for wire in self.wires.borrow().iter() {
-            wire.borrow_mut().fail(failure);
+    pub(crate) fn fail_connections(&self, failure: Failure) {
+        for connection in self.connections.borrow().iter() {
+            connection.borrow_mut().fail(failure);
         }
     }
 
-    /// Sends bytes on all open connections.
-    pub(crate) fn say(&self, bytes: &[u8]) {
-        self.say_from(None, bytes);
+    /// Sends bytes to the data plane on all open connections.
+    pub(crate) fn send(&self, bytes: &[u8]) {
+        self.send_from(None, bytes);
     }
 
-    /// Sends bytes on the open connections of one worker, or of all.
-    pub(crate) fn say_from(&self, worker: Option<&str>, bytes: &[u8]) {
-        for wire in self.wires.borrow().iter() {
-            let mut wire = wire.borrow_mut();
-            if worker.is_none_or(|worker| wire.address.to_string() == worker) {
-                wire.readable.extend(bytes);
-                wire.wake();
+    /// Sends bytes to the data plane on the open connections of one worker, or of all.
+    pub(crate) fn send_from(&self, worker: Option<&str>, bytes: &[u8]) {
+        for connection in self.connections.borrow().iter() {
+            let mut connection = connection.borrow_mut();
+            if worker.is_none_or(|worker| connection.address.to_string() == worker) {
+                connection.readable.extend(bytes);
+                connection.wake();
             }
         }
     }
 
     fn next_plan(&self) -> Plan {
         let plan = self.plans.borrow_mut().pop_front();
-        plan.or_else(|| self.otherwise.borrow().clone()).expect("a plan for each request")
+        plan.or_else(|| self.default_plan.borrow().clone()).expect("a plan for each request")
     }
 }
 
-/// The connector of a test.
+/// Connects the data plane to the scripted workers.
 #[derive(Debug)]
 pub(crate) struct MemoryConnector(pub(crate) Rc<Workers>);
 
@@ -192,67 +193,67 @@
         let workers = self.0.clone();
         Box::pin(async move {
             while workers.connect_hangs.get() {
-                workers.connects_again.notified().await;
+                workers.connect_resumed.notified().await;
             }
-            workers.seen.borrow_mut().connections += 1;
-            let wire = Rc::new(RefCell::new(Wire::new(address)));
-            workers.wires.borrow_mut().push(wire.clone());
-            Ok(Box::new(WorkerEnd { workers, wire }) as Box<dyn WorkerStream>)
+            workers.observed.borrow_mut().connections += 1;
+            let connection = Rc::new(RefCell::new(Connection::new(address)));
+            workers.connections.borrow_mut().push(connection.clone());
+            Ok(Box::new(ScriptedStream { workers, connection }) as Box<dyn WorkerStream>)
         })
     }
 }
 
-/// One connection.
-struct Wire {
+/// Worker side of one connection.
+struct Connection {
     address: SocketAddr,
-    /// Bytes of the present request that the worker has read.
-    read: Vec<u8>,
-    /// Length of its head, once that is read, and of all of it.
-    head: Option<(usize, usize)>,
+    /// Bytes of the current request that the worker has read.
+    received: Vec<u8>,
+    /// Lengths of the current request's head and of the whole request, once the head is read.
+    lengths: Option<(usize, usize)>,
     plan: Option<Plan>,
-    answered: bool,
-    /// Bytes on their way to the data plane.
+    response_sent: bool,
+    /// Bytes sent to the data plane that it has not read.
     readable: VecDeque<u8>,
-    /// What reading gives after those bytes.
-    end: Option<Failure>,
-    /// No byte is taken for now.
-    held: bool,
-    /// The worker was lost without a word: the next write finds out.
-    forgotten: bool,
+    /// Result of reading after `readable`, once the connection has failed.
+    failure: Option<Failure>,
+    /// Writes of the data plane stay pending.
+    read_paused: bool,
+    /// The connection is lost, which only the next write reveals.
+    resets_on_next_write: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
-impl Wire {
-    fn new(address: SocketAddr) -> Wire {
-        Wire {
+impl Connection {
+    fn new(address: SocketAddr) -> Connection {
+        Connection {
             address,
-            read: Vec::new(),
-            head: None,
+            received: Vec::new(),
+            lengths: None,
             plan: None,
-            answered: false,
+            response_sent: false,
             readable: VecDeque::new(),
-            end: None,
-            held: false,
-            forgotten: false,
+            failure: None,
+            read_paused: false,
+            resets_on_next_write: false,
             reader: None,
             writer: None,
         }
     }
 
-    /// Length of the present request, once its head is read.
-    fn whole_length(&mut self) -> Option<usize> {
-        if self.head.is_none() && self.read.ends_with(b"\r\n\r\n") {
-            let length =
-                read_request(&self.read, self.read.len()).header("content-length").parse().unwrap_or(0);
-            self.head = Some((self.read.len(), self.read.len() + length));
+    /// Length of the current request, once its head is read.
+    fn request_length(&mut self) -> Option<usize> {
+        if self.lengths.is_none() && self.received.ends_with(b"\r\n\r\n") {
+            let head = parse_request(&self.received, self.received.len());
+            let length = head.header("content-length").parse().unwrap_or(0);
+            self.lengths = Some((self.received.len(), self.received.len() + length));
         }
-        self.head.map(|(_, whole)| whole)
+        self.lengths.map(|(_, total)| total)
     }
 
-    /// The present request as far as it is read.
-    fn request(&self) -> ReadRequest {
-        read_request(&self.read, self.head.map_or(self.read.len(), |(head, _)| head))
+    /// The current request as far as it is read.
+    fn request(&self) -> ReceivedRequest {
+        parse_request(&self.received, self.lengths.map_or(self.received.len(), |(head, _)| head))
     }
 
     fn wake(&mut self) {
@@ -262,8 +263,8 @@
     }
 
     fn fail(&mut self, failure: Failure) {
-        self.end = Some(failure);
-        if matches!(failure, Failure::Reset | Failure::ResetAtWrite) && !self.answered {
+        self.failure = Some(failure);
+        if matches!(failure, Failure::Reset | Failure::ResetOnWrite) && !self.response_sent {
             self.readable.clear();
         }
         self.wake();
@@ -271,163 +272,169 @@
 }
 
 /// The data plane's end of a connection.
-struct WorkerEnd {
+struct ScriptedStream {
     workers: Rc<Workers>,
-    wire: Rc<RefCell<Wire>>,
+    connection: Rc<RefCell<Connection>>,
 }
 
-impl WorkerEnd {
-    /// Takes bytes; `Ok` counts those that look written.
-    fn take(&self, bytes: &[u8]) -> io::Result<usize> {
-        let mut wire = self.wire.borrow_mut();
-        if wire.forgotten {
-            wire.forgotten = false;
-            wire.plan = Some(self.workers.next_plan());
-            self.workers.seen.borrow_mut().arrivals.push((wire.address, Instant::now()));
-            wire.fail(Failure::Reset);
+impl ScriptedStream {
+    /// Accepts written bytes. `Ok` holds the number of bytes reported as written.
+    fn accept_bytes(&self, bytes: &[u8]) -> io::Result<usize> {
+        let mut connection = self.connection.borrow_mut();
+        if connection.resets_on_next_write {
+            connection.resets_on_next_write = false;
+            connection.plan = Some(self.workers.next_plan());
+            self.workers.observed.borrow_mut().arrivals.push((connection.address, Instant::now()));
+            connection.fail(Failure::Reset);
             return Ok(bytes.len());
         }
-        if wire.plan.is_none() {
-            wire.plan = Some(self.workers.next_plan());
+        if connection.plan.is_none() {
+            connection.plan = Some(self.workers.next_plan());
         }
-        for (taken, byte) in bytes.iter().enumerate() {
-            if let Some(result) = self.fail_before_byte(&mut wire, taken, bytes.len()) {
+        for (written, byte) in bytes.iter().enumerate() {
+            if let Some(result) = self.failure_before_byte(&mut connection, written, bytes.len()) {
                 return result;
             }
-            if wire.read.is_empty() {
-                self.workers.seen.borrow_mut().arrivals.push((wire.address, Instant::now()));
+            if connection.received.is_empty() {
+                self.workers.observed.borrow_mut().arrivals.push((connection.address, Instant::now()));
             }
-            wire.read.push(*byte);
-            if self.read_further(&mut wire) {
-                return Ok(taken + 1);
+            connection.received.push(*byte);
+            if self.process_received(&mut connection) {
+                return Ok(written + 1);
             }
         }
-        // A failure right after the last byte of a write shows at once, not at the next one.
-        if let Some(result) = self.fail_before_byte(&mut wire, bytes.len(), bytes.len()) {
+        // A failure right after the last byte of a write takes effect at once, not at the next write.
+        if let Some(result) = self.failure_before_byte(&mut connection, bytes.len(), bytes.len()) {
             return result;
         }
         Ok(bytes.len())
     }
 
-    /// The failure that the plan has for this moment, if the next byte is not read any more.
-    fn fail_before_byte(&self, wire: &mut Wire, taken: usize, all: usize) -> Option<io::Result<usize>> {
-        if let Some(end) = wire.end {
+    /// Result of the write if the connection has failed and reads no further byte. Applies the plan's failure
+    /// when its failure point is reached.
+    fn failure_before_byte(
+        &self,
+        connection: &mut Connection,
+        written: usize,
+        total: usize,
+    ) -> Option<io::Result<usize>> {
+        if let Some(end) = connection.failure {
             return match end {
-                Failure::Reset => Some(Ok(all)),
-                Failure::ResetAtWrite if taken > 0 => Some(Ok(taken)),
-                Failure::ResetAtWrite => Some(Err(io::ErrorKind::ConnectionReset.into())),
-                Failure::Close if taken > 0 => Some(Ok(taken)),
+                Failure::Reset => Some(Ok(total)),
+                Failure::ResetOnWrite if written > 0 => Some(Ok(written)),
+                Failure::ResetOnWrite => Some(Err(io::ErrorKind::ConnectionReset.into())),
+                Failure::Close if written > 0 => Some(Ok(written)),
                 Failure::Close => Some(Err(io::ErrorKind::BrokenPipe.into())),
-                Failure::HalfClose | Failure::Silence => None,
+                Failure::HalfClose | Failure::Stall => None,
             };
         }
-        let (position, failure) = wire.plan.as_ref()?.failure?;
-        if position != Position::Request(wire.read.len()) {
+        let (point, failure) = connection.plan.as_ref()?.failure?;
+        if point != FailurePoint::Request(connection.received.len()) {
             return None;
         }
-        wire.fail(failure);
-        self.fail_before_byte(wire, taken, all)
+        connection.fail(failure);
+        self.failure_before_byte(connection, written, total)
     }
 
-    /// Looks at what the worker has read. Tells whether it reads no more for now.
-    fn read_further(&self, wire: &mut Wire) -> bool {
-        let Some(plan) = wire.plan.clone() else { return false };
-        let Some(whole) = wire.whole_length() else { return false };
-        if plan.early && !wire.answered {
-            let request = wire.request();
-            self.answer(wire, &plan, &request);
-            wire.held = true;
+    /// Handles the bytes received so far. Returns whether reading is paused.
+    fn process_received(&self, connection: &mut Connection) -> bool {
+        let Some(plan) = connection.plan.clone() else { return false };
+        let Some(length) = connection.request_length() else { return false };
+        if plan.responds_early && !connection.response_sent {
+            let request = connection.request();
+            self.send_response(connection, &plan, &request);
+            connection.read_paused = true;
             return true;
         }
-        if wire.read.len() < whole {
+        if connection.received.len() < length {
             return false;
         }
-        let request = wire.request();
-        if !request.line.starts_with("POST /") || request.header("request-id").is_empty() {
-            self.workers.seen.borrow_mut().faults.push(request.line.clone());
+        let request = connection.request();
+        if !request.request_line.starts_with("POST /") || request.header("request-id").is_empty() {
+            self.workers.observed.borrow_mut().malformed.push(request.request_line.clone());
         }
-        self.workers.seen.borrow_mut().whole.push(request.clone());
+        self.workers.observed.borrow_mut().complete_requests.push(request.clone());
         if plan.runs {
-            self.workers.seen.borrow_mut().runs.push(request.clone());
+            self.workers.observed.borrow_mut().runs.push(request.clone());
         }
-        if !wire.answered {
-            self.answer(wire, &plan, &request);
+        if !connection.response_sent {
+            self.send_response(connection, &plan, &request);
         }
-        if wire.end.is_none() {
-            wire.read.clear();
-            wire.head = None;
-            wire.plan = None;
-            wire.answered = false;
-            wire.forgotten = plan.forgotten;
+        if connection.failure.is_none() {
+            connection.received.clear();
+            connection.lengths = None;
+            connection.plan = None;
+            connection.response_sent = false;
+            connection.resets_on_next_write = plan.resets_on_reuse;
         }
         false
     }
 
-    fn answer(&self, wire: &mut Wire, plan: &Plan, request: &ReadRequest) {
-        if wire.end.is_some() {
+    fn send_response(&self, connection: &mut Connection, plan: &Plan, request: &ReceivedRequest) {
+        if connection.failure.is_some() {
             return;
         }
-        let answer = (plan.answer)(request);
-        wire.answered = true;
+        let response = (plan.respond)(request);
+        connection.response_sent = true;
         match plan.failure {
-            Some((Position::Answer(sent), failure)) if sent <= answer.len() => {
-                wire.readable.extend(&answer[..sent]);
-                wire.fail(failure);
+            Some((FailurePoint::Response(sent), failure)) if sent <= response.len() => {
+                connection.readable.extend(&response[..sent]);
+                connection.fail(failure);
             }
             _ => {
-                wire.readable.extend(answer);
-                wire.readable.extend(&plan.surplus);
-                if let Some(end) = plan.ends {
-                    wire.fail(end);
+                connection.readable.extend(response);
+                connection.readable.extend(&plan.surplus);
+                if let Some(end) = plan.end_after_response {
+                    connection.fail(end);
                 }
             }
         }
-        wire.wake();
+        connection.wake();
     }
 }
 
-fn read_request(bytes: &[u8], head_end: usize) -> ReadRequest {
+fn parse_request(bytes: &[u8], head_end: usize) -> ReceivedRequest {
     let head = String::from_utf8_lossy(&bytes[..head_end]).into_owned();
     let mut lines = head.lines();
-    let line = lines.next().unwrap_or_default().to_owned();
+    let request_line = lines.next().unwrap_or_default().to_owned();
     let headers = lines.filter_map(|line| line.split_once(':'));
     let headers = headers.map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned())).collect();
-    ReadRequest { line, headers, body: bytes[head_end..].to_vec() }
+    ReceivedRequest { request_line, headers, body: bytes[head_end..].to_vec() }
 }
 
-impl AsyncRead for WorkerEnd {
+impl AsyncRead for ScriptedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut wire = self.wire.borrow_mut();
-        if !wire.readable.is_empty() {
-            let count = wire.readable.len().min(buffer.remaining());
-            let bytes: Vec<u8> = wire.readable.drain(..count).collect();
+        let mut connection = self.connection.borrow_mut();
+        if !connection.readable.is_empty() {
+            let count = connection.readable.len().min(buffer.remaining());
+            let bytes: Vec<u8> = connection.readable.drain(..count).collect();
             buffer.put_slice(&bytes);
             return Poll::Ready(Ok(()));
         }
-        match wire.end {
-            Some(Failure::Reset | Failure::ResetAtWrite) => {
+        match connection.failure {
+            Some(Failure::Reset | Failure::ResetOnWrite) => {
                 Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()))
             }
             Some(Failure::Close | Failure::HalfClose) => Poll::Ready(Ok(())),
-            Some(Failure::Silence) | None => {
-                wire.reader = Some(context.waker().clone());
+            Some(Failure::Stall) | None => {
+                connection.reader = Some(context.waker().clone());
                 Poll::Pending
             }
         }
     }
 }
 
-impl AsyncWrite for WorkerEnd {
+impl AsyncWrite for ScriptedStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        if self.wire.borrow().held {
-            self.wire.borrow_mut().writer = Some(context.waker().clone());
+        if self.connection.borrow().read_paused {
+            self.connection.borrow_mut().writer = Some(context.waker().clone());
             return Poll::Pending;
         }
-        Poll::Ready(self.take(bytes))
+        Poll::Ready(self.accept_bytes(bytes))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -439,12 +446,12 @@
     }
 }
 
-impl Drop for WorkerEnd {
+impl Drop for ScriptedStream {
     fn drop(&mut self) {
-        let is_busy = self.wire.borrow().plan.is_some();
+        let is_busy = self.connection.borrow().plan.is_some();
         if is_busy {
-            self.workers.seen.borrow_mut().left.push(Instant::now());
+            self.workers.observed.borrow_mut().abandoned.push(Instant::now());
         }
-        self.workers.wires.borrow_mut().retain(|wire| !Rc::ptr_eq(wire, &self.wire));
+        self.workers.connections.borrow_mut().retain(|connection| !Rc::ptr_eq(connection, &self.connection));
     }
 }
--- a/src/data_plane/tests/statistics.rs
+++ b/src/data_plane/tests/statistics.rs
@@ -1,4 +1,4 @@
-//! Counts of demand over spans of any length.
+//! Demand statistics over intervals of any length.
 
 use super::super::statistics::Statistics;
 use googletest::prelude::*;
@@ -16,7 +16,7 @@
 }
 
 #[gtest]
-fn a_request_that_arrives_in_the_millisecond_of_a_summary_is_counted() -> Result<()> {
+fn a_request_that_arrives_in_the_same_millisecond_as_a_summary_is_counted() -> Result<()> {
     let mut statistics = Statistics::default();
     let _running = statistics.arrived("r1", &profile());
     let demand = statistics.take_demand(0);
@@ -28,7 +28,7 @@
 }
 
 #[gtest]
-fn a_rate_tells_the_requests_of_a_second_whatever_the_spans() -> Result<()> {
+fn the_request_rate_does_not_depend_on_the_interval() -> Result<()> {
     for span_ms in [1, 10, 300, 1000] {
         let mut statistics = Statistics::default();
         let mut demand = Vec::new();
@@ -38,7 +38,7 @@
             }
             demand = statistics.take_demand(span_ms);
         }
-        expect_that!(demand[0].requests_per_s, near(1000.0, 10.0), "spans of {span_ms} ms");
+        expect_that!(demand[0].requests_per_s, near(1000.0, 10.0), "intervals of {span_ms} ms");
     }
     Ok(())
 }
--- a/src/data_plane/tests/time_limits.rs
+++ b/src/data_plane/tests/time_limits.rs
@@ -1,11 +1,11 @@
-//! Every request has its final answer within half a second of its route's time limit, whatever is silent; and the
-//! time handed to workers is what is left of the client's, on each attempt.
+//! Every request gets its final response within 500 ms of its route's time limit, whatever does not respond. Each
+//! attempt passes the remaining time of the client's deadline to the worker.
 
 use super::harness::{
-    paused, read_to_end, refusal, request_bytes, worker_view, Answered, MemoryRig, RouteUnderTest,
-    ALL_ROUTES, LATE, TIMEOUT,
+    not_executed_response, read_to_end, request_bytes, run_in_paused_time, worker_view, ClientResponse,
+    InMemoryHarness, RouteUnderTest, ALL_ROUTES, RESPONSE_TOLERANCE, ROUTE_TIMEOUT,
 };
-use super::scripted_worker::{Answer, Failure, Plan, Position, ReadRequest};
+use super::scripted_worker::{Failure, FailurePoint, Plan, ReceivedRequest, ResponseFn};
 use googletest::prelude::*;
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,62 +13,78 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::Instant;
 
-/// A client that would wait far longer than the route lets it.
-const PATIENT: &str = "Request-Deadline-Ms: 60000\r\n";
+/// A client deadline far longer than the time limit of the route.
+const LONG_CLIENT_DEADLINE: &str = "Request-Deadline-Ms: 60000\r\n";
 
-fn expect_in_time(route: RouteUnderTest, answered: &Answered, case: &str) {
-    expect_that!(answered.ended, eq(true), "{}, {case}: no end", route.name());
-    expect_that!(answered.took, le(TIMEOUT + LATE), "{}, {case}: {answered:?}", route.name());
+fn expect_in_time(route: RouteUnderTest, response: &ClientResponse, case: &str) {
+    expect_that!(response.connection_closed, eq(true), "{}, {case}: connection not closed", route.name());
+    expect_that!(
+        response.elapsed,
+        le(ROUTE_TIMEOUT + RESPONSE_TOLERANCE),
+        "{}, {case}: {response:?}",
+        route.name()
+    );
 }
 
-/// Something that stays silent, and the statuses that may answer it.
-struct Silent {
+/// Something that does not respond, and the allowed response statuses.
+struct UnresponsiveCase {
     name: &'static str,
-    prepare: fn(&MemoryRig, RouteUnderTest),
+    prepare: fn(&InMemoryHarness, RouteUnderTest),
     headers: &'static str,
     statuses: &'static [u16],
 }
 
-fn silent_parts() -> Vec<Silent> {
+fn unresponsive_cases() -> Vec<UnresponsiveCase> {
     vec![
-        Silent {
-            name: "the worker, before its answer",
-            prepare: |rig, route| {
-                rig.workers
-                    .otherwise(Plan::answering(route.answer()).failing(Position::Answer(0), Failure::Silence))
+        UnresponsiveCase {
+            name: "the worker, before its response",
+            prepare: |harness, route| {
+                harness.workers.set_default_plan(
+                    Plan::responding(route.respond_fn())
+                        .with_failure(FailurePoint::Response(0), Failure::Stall),
+                )
             },
             headers: "",
             statuses: &[504],
         },
-        Silent {
-            name: "the worker, in the head of its answer",
-            prepare: |rig, route| {
-                rig.workers.otherwise(
-                    Plan::answering(route.answer()).failing(Position::Answer(20), Failure::Silence),
+        UnresponsiveCase {
+            name: "the worker, within its response head",
+            prepare: |harness, route| {
+                harness.workers.set_default_plan(
+                    Plan::responding(route.respond_fn())
+                        .with_failure(FailurePoint::Response(20), Failure::Stall),
                 )
             },
             headers: "",
             statuses: &[504],
         },
-        Silent {
-            name: "connections",
-            prepare: |rig, _| rig.workers.connect_hangs(true),
+        UnresponsiveCase {
+            name: "connection attempts",
+            prepare: |harness, _| harness.workers.set_connect_hangs(true),
             headers: "",
             statuses: &[503],
         },
-        Silent {
+        UnresponsiveCase {
             name: "the placement of a model",
-            prepare: |rig, _| {
-                rig.tell(vec![WorkerView { models: Vec::new(), ..worker_view(1) }]);
+            prepare: |harness, _| {
+                harness.publish_workers(vec![WorkerView { models: Vec::new(), ..worker_view(1) }]);
             },
             headers: "Model: small\r\n",
             statuses: &[503],
         },
-        Silent { name: "all workers", prepare: |rig, _| rig.tell(Vec::new()), headers: "", statuses: &[503] },
-        Silent {
+        UnresponsiveCase {
+            name: "all workers",
+            prepare: |harness, _| harness.publish_workers(Vec::new()),
+            headers: "",
+            statuses: &[503],
+        },
+        UnresponsiveCase {
             name: "workers that refuse",
-            prepare: |rig, _| {
-                rig.workers.otherwise(Plan { runs: false, ..Plan::answering(Rc::new(refusal)) });
+            prepare: |harness, _| {
+                harness.workers.set_default_plan(Plan {
+                    runs: false,
+                    ..Plan::responding(Rc::new(not_executed_response))
+                });
             },
             headers: "",
             statuses: &[503],
@@ -77,30 +93,32 @@
 }
 
 #[gtest]
-fn whatever_is_silent_the_answer_comes_at_the_time_limit_of_the_route() {
+fn a_response_arrives_by_the_time_limit_whatever_is_unresponsive() {
     for route in ALL_ROUTES {
-        for part in silent_parts() {
-            paused(async {
-                let mut rig = MemoryRig::start();
-                (part.prepare)(&rig, route);
-                let answered = rig.ask(route, "q1", &format!("{PATIENT}{}", part.headers), "").await;
-                expect_in_time(route, &answered, part.name);
-                let status = answered.status;
+        for case in unresponsive_cases() {
+            run_in_paused_time(async {
+                let mut harness = InMemoryHarness::start();
+                (case.prepare)(&harness, route);
+                let response = harness
+                    .exchange(route, "q1", &format!("{LONG_CLIENT_DEADLINE}{}", case.headers), "")
+                    .await;
+                expect_in_time(route, &response, case.name);
+                let status = response.status;
                 expect_that!(
-                    part.statuses.contains(&status),
+                    case.statuses.contains(&status),
                     eq(true),
                     "{}, {}: {status}",
                     route.name(),
-                    part.name
+                    case.name
                 );
-                // What has been sent must not be said not to have run.
-                let runs = rig.runs("q1");
+                // A 503 says that the request has not run, so it is wrong after a run.
+                let runs = harness.run_count("q1");
                 expect_that!(
                     status == 503 && runs > 0,
                     eq(false),
                     "{}, {}: {runs} runs",
                     route.name(),
-                    part.name
+                    case.name
                 );
             });
         }
@@ -108,102 +126,118 @@
 }
 
 #[gtest]
-fn without_a_configuration_the_answer_is_503_in_time() {
+fn without_a_configuration_the_response_is_503_in_time() {
     for route in ALL_ROUTES {
-        paused(async {
-            let mut rig = MemoryRig::without_configuration();
-            let answered = rig.ask(route, "q1", PATIENT, "").await;
-            expect_in_time(route, &answered, "the configuration");
-            expect_that!(answered.status, eq(503), "{}", route.name());
+        run_in_paused_time(async {
+            let mut harness = InMemoryHarness::start_unconfigured();
+            let response = harness.exchange(route, "q1", LONG_CLIENT_DEADLINE, "").await;
+            expect_in_time(route, &response, "the configuration");
+            expect_that!(response.status, eq(503), "{}", route.name());
         });
     }
 }
 
 #[gtest]
-fn a_body_that_does_not_come_is_awaited_no_longer_than_the_route_allows() {
+fn a_missing_body_is_awaited_no_longer_than_the_time_limit_of_the_route() {
     for route in ALL_ROUTES {
-        let bytes = request_bytes(route, "q1", &format!("Connection: close\r\n{PATIENT}"), "a body");
+        let bytes =
+            request_bytes(route, "q1", &format!("Connection: close\r\n{LONG_CLIENT_DEADLINE}"), "a body");
         for missing in 1..=6 {
-            paused(async {
-                let mut rig = MemoryRig::start();
-                let mut client = rig.connect();
-                client.write_all(&bytes[..bytes.len() - missing]).await.expect("window");
-                let answered = read_to_end(client).await;
-                expect_in_time(route, &answered, "the body");
-                expect_that!(answered.status, eq(503), "{}", route.name());
-                expect_that!(rig.workers.seen.borrow().arrivals, is_empty(), "{}", route.name());
+            run_in_paused_time(async {
+                let mut harness = InMemoryHarness::start();
+                let mut client = harness.connect();
+                client.write_all(&bytes[..bytes.len() - missing]).await.expect("written");
+                let response = read_to_end(client).await;
+                expect_in_time(route, &response, "the body");
+                expect_that!(response.status, eq(503), "{}", route.name());
+                expect_that!(harness.workers.observed.borrow().arrivals, is_empty(), "{}", route.name());
             });
         }
     }
 }
 
 #[gtest]
-fn a_stream_that_lasts_longer_than_its_route_allows_ends_visibly_cut() {
+fn a_stream_that_exceeds_its_time_limit_ends_incomplete() {
     for route in [RouteUnderTest::Streaming, RouteUnderTest::Resumable] {
-        for silent in [false, true] {
-            paused(async {
-                let mut rig = MemoryRig::start();
+        for stalls in [false, true] {
+            run_in_paused_time(async {
+                let mut harness = InMemoryHarness::start();
                 let head = "HTTP/1.1 200 OK\r\nRequest-Id: q1\r\nResponse-Stamp: s\r\n\
                             Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-                rig.workers.otherwise(Plan::answering(Rc::new(|_: &ReadRequest| head.as_bytes().to_vec())));
-                let mut client = rig.connect();
-                let headers = format!("Connection: close\r\n{PATIENT}");
-                client.write_all(&request_bytes(route, "q1", &headers, "")).await.expect("window");
-                let workers = rig.workers.clone();
-                let speaks = async {
+                harness.workers.set_default_plan(Plan::responding(Rc::new(|_: &ReceivedRequest| {
+                    head.as_bytes().to_vec()
+                })));
+                let mut client = harness.connect();
+                let headers = format!("Connection: close\r\n{LONG_CLIENT_DEADLINE}");
+                client.write_all(&request_bytes(route, "q1", &headers, "")).await.expect("written");
+                let workers = harness.workers.clone();
+                let send_events = async {
                     for event in 1.. {
                         let text = format!("id: {event}\ndata: x\n\n");
-                        workers.say(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
-                        tokio::time::sleep(if silent { 10 * TIMEOUT } else { Duration::from_millis(100) })
-                            .await;
+                        workers.send(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
+                        tokio::time::sleep(if stalls {
+                            10 * ROUTE_TIMEOUT
+                        } else {
+                            Duration::from_millis(100)
+                        })
+                        .await;
                     }
                 };
                 tokio::task::yield_now().await;
-                let answered = tokio::select! {
-                    answered = read_to_end(client) => answered,
-                    () = async { tokio::time::sleep(Duration::from_millis(10)).await; speaks.await } => unreachable!(),
+                let response = tokio::select! {
+                    response = read_to_end(client) => response,
+                    () = async { tokio::time::sleep(Duration::from_millis(10)).await; send_events.await } => unreachable!(),
                 };
-                expect_in_time(route, &answered, "a long stream");
-                expect_that!((answered.status, answered.complete), eq((200, false)), "{}", route.name());
-                expect_that!(answered.took, ge(TIMEOUT), "{}: {answered:?}", route.name());
+                expect_in_time(route, &response, "a long stream");
+                expect_that!((response.status, response.complete), eq((200, false)), "{}", route.name());
+                expect_that!(response.elapsed, ge(ROUTE_TIMEOUT), "{}: {response:?}", route.name());
             });
         }
     }
 }
 
-fn deadline_of(request: &ReadRequest) -> Duration {
+fn deadline_of(request: &ReceivedRequest) -> Duration {
     Duration::from_millis(request.header("request-deadline-ms").parse().expect("a deadline"))
 }
 
-/// Fails the first attempt after `pause` and returns what the workers were handed.
-async fn handed_on(route: RouteUnderTest, headers: &str, pause: Duration) -> Vec<(Duration, ReadRequest)> {
-    let mut rig = MemoryRig::start();
-    let refused: Answer = Rc::new(|_: &ReadRequest| Vec::new());
-    rig.workers.plan(Plan { runs: false, ..Plan::answering(refused) });
-    rig.workers.otherwise(Plan::answering(route.answer()));
-    let begin = Instant::now();
-    let mut client = rig.connect();
-    client.write_all(&request_bytes(route, "q1", headers, "")).await.expect("window");
+/// Lets the first worker refuse the request after `pause`. Returns the time and the request of each attempt.
+async fn attempts_after_refusal(
+    route: RouteUnderTest,
+    headers: &str,
+    pause: Duration,
+) -> Vec<(Duration, ReceivedRequest)> {
+    let mut harness = InMemoryHarness::start();
+    let no_response: ResponseFn = Rc::new(|_: &ReceivedRequest| Vec::new());
+    harness.workers.push_plan(Plan { runs: false, ..Plan::responding(no_response) });
+    harness.workers.set_default_plan(Plan::responding(route.respond_fn()));
+    let sent_at = Instant::now();
+    let mut client = harness.connect();
+    client.write_all(&request_bytes(route, "q1", headers, "")).await.expect("written");
     tokio::time::sleep(pause).await;
-    // The first worker refuses late: any kind of request may be sent once more.
-    let late =
-        refusal(&ReadRequest { headers: [("request-id".into(), "q1".into())].into(), ..Default::default() });
-    rig.workers.say(&late);
+    // The first worker refuses late, so a request of any kind may be retried.
+    let late_refusal = not_executed_response(&ReceivedRequest {
+        headers: [("request-id".into(), "q1".into())].into(),
+        ..Default::default()
+    });
+    harness.workers.send(&late_refusal);
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let seen = rig.workers.seen.borrow();
-    let times = seen.arrivals.iter().map(|(_, at)| at.duration_since(begin));
-    times.zip(seen.whole.iter().cloned()).collect()
+    let observed = harness.workers.observed.borrow();
+    let times = observed.arrivals.iter().map(|(_, at)| at.duration_since(sent_at));
+    times.zip(observed.complete_requests.iter().cloned()).collect()
 }
 
 #[gtest]
-fn each_attempt_is_handed_the_time_that_is_left_of_the_clients() {
+fn each_attempt_passes_on_the_remaining_time_of_the_client() {
     for route in ALL_ROUTES {
-        for (headers, client) in [("Request-Deadline-Ms: 1500\r\n", 1500), ("", 2000), (PATIENT, 2000)] {
+        for (headers, client) in
+            [("Request-Deadline-Ms: 1500\r\n", 1500), ("", 2000), (LONG_CLIENT_DEADLINE, 2000)]
+        {
             for pause in [1, 100, 700, 1400] {
                 let case = format!("{}, {client} ms, first refused after {pause} ms", route.name());
-                let handed = paused(handed_on(route, headers, Duration::from_millis(pause)));
-                expect_that!(handed.len(), eq(2), "{case}");
-                for (at, request) in handed {
+                let attempts =
+                    run_in_paused_time(attempts_after_refusal(route, headers, Duration::from_millis(pause)));
+                expect_that!(attempts.len(), eq(2), "{case}");
+                for (at, request) in attempts {
                     let left = Duration::from_millis(client).saturating_sub(at);
                     expect_that!(deadline_of(&request), le(left), "{case}");
                     expect_that!(deadline_of(&request) + Duration::from_millis(5), ge(left), "{case}");
@@ -214,7 +248,7 @@
 }
 
 #[gtest]
-fn each_attempt_carries_the_clients_own_headers() {
+fn each_attempt_carries_the_headers_of_the_client() {
     let own = [
         ("model", "small/a1"),
         ("token-usage", "1460, 80"),
@@ -224,26 +258,33 @@
     ];
     let headers: String = own.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
     for route in ALL_ROUTES {
-        paused(async {
-            let mut rig = MemoryRig::start();
-            let holds = |number| WorkerView {
+        run_in_paused_time(async {
+            let mut harness = InMemoryHarness::start();
+            let with_adapter = |number| WorkerView {
                 models: vec![switchhill_routing::ResidentModel {
                     name: "small".into(),
                     adapters: vec!["a1".into()],
                 }],
                 ..worker_view(number)
             };
-            rig.tell(vec![holds(1), holds(2)]);
-            rig.workers.plan(Plan { runs: false, ..Plan::answering(Rc::new(refusal)) });
-            rig.workers.otherwise(Plan::answering(route.answer()));
-            expect_that!(rig.ask(route, "q1", &headers, "a body").await.status, eq(200), "{}", route.name());
-            let seen = rig.workers.seen.borrow();
-            expect_that!(seen.whole.len(), eq(2), "{}", route.name());
-            for request in &seen.whole {
+            harness.publish_workers(vec![with_adapter(1), with_adapter(2)]);
+            harness
+                .workers
+                .push_plan(Plan { runs: false, ..Plan::responding(Rc::new(not_executed_response)) });
+            harness.workers.set_default_plan(Plan::responding(route.respond_fn()));
+            expect_that!(
+                harness.exchange(route, "q1", &headers, "a body").await.status,
+                eq(200),
+                "{}",
+                route.name()
+            );
+            let observed = harness.workers.observed.borrow();
+            expect_that!(observed.complete_requests.len(), eq(2), "{}", route.name());
+            for request in &observed.complete_requests {
                 for (name, value) in own {
                     expect_that!(request.header(name), eq(value), "{}", route.name());
                 }
-                expect_that!(request.line, eq(&format!("POST /{}/x?y=1 HTTP/1.1", route.name())));
+                expect_that!(request.request_line, eq(&format!("POST /{}/x?y=1 HTTP/1.1", route.name())));
                 expect_that!(request.body, eq(&b"a body".to_vec()), "{}", route.name());
                 expect_that!(request.header("expect-instance"), starts_with("w"), "{}", route.name());
                 expect_that!(request.header("priority"), eq("1"), "{}", route.name());
