--- a/tests/data_plane_support/client.rs
+++ b/tests/data_plane_support/client.rs
@@ -1,6 +1,6 @@
-//! A client of the data plane.
+//! HTTP/1 client for data plane tests.
 
-use super::{within, HOST};
+use super::{with_timeout, HOST};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -17,25 +17,24 @@
     driver: JoinHandle<()>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
-pub struct Whole {
+pub struct FullResponse {
     pub status: u16,
     pub headers: hyper::HeaderMap,
     pub body: String,
 }
 
-impl Whole {
-    /// A header, empty if it is absent.
+impl FullResponse {
+    /// Value of a header, or an empty string if it is absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", |value| value.to_str().expect("text"))
     }
 }
 
 impl Client {
-    /// Connects.
     pub async fn connect(address: SocketAddr) -> Client {
-        let stream = within(TcpStream::connect(address)).await.expect("connect");
+        let stream = with_timeout(TcpStream::connect(address)).await.expect("connect");
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.expect("handshake");
         let driver = tokio::task::spawn_local(async move {
             let _ = connection.await;
@@ -43,41 +42,41 @@
         Client { sender, driver }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
-        within(self.sender.ready()).await?;
-        within(self.sender.send_request(request)).await
+        with_timeout(self.sender.ready()).await?;
+        with_timeout(self.sender.send_request(request)).await
     }
 
-    /// Sends a request and reads the whole answer.
-    pub async fn whole(&mut self, request: Request<Full<Bytes>>) -> Whole {
-        let answer = self.send(request).await.expect("an answer");
-        let (head, body) = answer.into_parts();
-        let body = within(body.collect()).await.expect("a whole body").to_bytes();
+    /// Sends a request and reads the complete response.
+    pub async fn exchange(&mut self, request: Request<Full<Bytes>>) -> FullResponse {
+        let response = self.send(request).await.expect("a response");
+        let (head, body) = response.into_parts();
+        let body = with_timeout(body.collect()).await.expect("a complete body").to_bytes();
         let body = String::from_utf8(body.to_vec()).expect("text");
-        Whole { status: head.status.as_u16(), headers: head.headers, body }
+        FullResponse { status: head.status.as_u16(), headers: head.headers, body }
     }
 
-    /// Whether the connection closes instead of becoming ready for another request.
-    pub async fn closes(&mut self) -> bool {
-        within(self.sender.ready()).await.is_err()
+    /// Whether the server closes the connection instead of accepting another request.
+    pub async fn is_closed_by_server(&mut self) -> bool {
+        with_timeout(self.sender.ready()).await.is_err()
     }
 
-    /// Closes the connection, whatever is under way.
+    /// Closes the connection, even during an exchange.
     pub fn close(self) {
         self.driver.abort();
     }
 }
 
-/// The next bytes of a body: `None` at its end, an error if it breaks off.
+/// The next bytes of a body: `None` at its end, an error if it is incomplete.
 pub async fn next_bytes(body: &mut Incoming) -> Option<Result<String, ()>> {
-    let frame = within(body.frame()).await?;
+    let frame = with_timeout(body.frame()).await?;
     let data = frame.map_err(|_| ()).map(|frame| frame.into_data().unwrap_or_default());
     Some(data.map(|data| String::from_utf8(data.to_vec()).expect("text")))
 }
 
-/// The rest of a body, and whether it ended properly.
-pub async fn rest(body: &mut Incoming) -> (String, bool) {
+/// Reads the rest of a body. Also returns whether the body was complete.
+pub async fn read_rest(body: &mut Incoming) -> (String, bool) {
     let mut text = String::new();
     loop {
         match next_bytes(body).await {
@@ -88,7 +87,7 @@
     }
 }
 
-/// A request to a route of this kind.
+/// A request to the route of this kind.
 pub fn request(kind: &str, id: &str, headers: &[(&str, &str)], body: &str) -> Request<Full<Bytes>> {
     let mut request = Request::builder().method("POST").uri(format!("/{kind}/x?y=1"));
     request = request.header("Host", HOST).header("Request-Id", id);
--- a/tests/data_plane_support/mod.rs
+++ b/tests/data_plane_support/mod.rs
@@ -1,4 +1,4 @@
-//! A data plane between a client and stand-in workers, all on loopback and on one thread.
+//! Test harness: a data plane between a client and mock workers, all on loopback and on one thread.
 
 #![allow(dead_code)]
 
@@ -16,26 +16,26 @@
 use switchhill_routing::{Availability, ResidentModel, WorkerView};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, LocalSet};
-use worker::StandInWorker;
+use worker::MockWorker;
 
-/// Longest time that anything awaited in a test may take.
-const BOUND: Duration = Duration::from_secs(10);
+/// Timeout of a test, and of each step that it awaits.
+const AWAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub const HOST: &str = "shop.example";
 
-/// Runs a test on one thread.
-pub fn on_one_thread<T>(test: impl Future<Output = T>) -> T {
+/// Runs a test on a single-threaded runtime.
+pub fn run_on_one_thread<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime");
-    runtime.block_on(LocalSet::new().run_until(within(test)))
+    runtime.block_on(LocalSet::new().run_until(with_timeout(test)))
 }
 
-/// What comes in time.
-pub async fn within<T>(awaited: impl Future<Output = T>) -> T {
-    tokio::time::timeout(BOUND, awaited).await.expect("it took too long")
+/// Output of the future. Panics if it takes longer than [`AWAIT_TIMEOUT`].
+pub async fn with_timeout<T>(future: impl Future<Output = T>) -> T {
+    tokio::time::timeout(AWAIT_TIMEOUT, future).await.expect("completed in time")
 }
 
 /// A running data plane.
-pub struct Rig {
+pub struct Harness {
     pub address: SocketAddr,
     pub readiness: SocketAddr,
     pub shutdown: ShutdownHandle,
@@ -44,36 +44,41 @@
     views: watch::Sender<Arc<View>>,
 }
 
-impl Rig {
-    /// Starts one that knows nothing.
-    pub fn start() -> Rig {
+impl Harness {
+    /// Starts a data plane without a configuration.
+    pub fn start() -> Harness {
         let data_plane = DataPlane::bind(settings()).expect("bind");
-        let (views, taken) = watch::channel(Arc::new(View::default()));
-        let (tell, feedback) = mpsc::unbounded_channel();
-        Rig {
+        let (views, view_receiver) = watch::channel(Arc::new(View::default()));
+        let (feedback_sender, feedback) = mpsc::unbounded_channel();
+        Harness {
             address: data_plane.http_address().expect("address"),
             readiness: data_plane.readiness_address().expect("readiness address"),
             shutdown: data_plane.shutdown_handle(),
-            ended: tokio::task::spawn_local(data_plane.serve(taken, tell)),
+            ended: tokio::task::spawn_local(data_plane.serve(view_receiver, feedback_sender)),
             feedback,
             views,
         }
     }
 
-    /// Starts one with a configuration of these routes and with these workers.
-    pub fn with(routes: Value, workers: &[&StandInWorker]) -> Rig {
-        let rig = Rig::start();
-        rig.tell(routes, workers.iter().map(|worker| worker.view()).collect());
-        rig
+    /// Starts a data plane with these routes and workers.
+    pub fn with(routes: Value, workers: &[&MockWorker]) -> Harness {
+        let harness = Harness::start();
+        harness.publish(routes, workers.iter().map(|worker| worker.view()).collect());
+        harness
     }
 
-    /// Tells a new view.
-    pub fn tell(&self, routes: Value, workers: Vec<WorkerView>) {
-        self.tell_expecting(routes, workers, ExpectedLoads::default());
+    /// Publishes a view with these routes and workers.
+    pub fn publish(&self, routes: Value, workers: Vec<WorkerView>) {
+        self.publish_with_expected_loads(routes, workers, ExpectedLoads::default());
     }
 
-    /// Tells a new view, and when missing models should stand.
-    pub fn tell_expecting(&self, routes: Value, workers: Vec<WorkerView>, expected: ExpectedLoads) {
+    /// Publishes a view with these routes and workers and the expected ready times of missing models.
+    pub fn publish_with_expected_loads(
+        &self,
+        routes: Value,
+        workers: Vec<WorkerView>,
+        expected: ExpectedLoads,
+    ) {
         let view = View {
             document: Some(Arc::new(document(routes))),
             workers: workers.into_iter().map(Arc::new).collect(),
@@ -85,24 +90,24 @@
         self.views.send(Arc::new(view)).expect("the data plane has ended");
     }
 
-    /// Tells when missing models should stand, and nothing else.
+    /// Publishes the expected ready times of missing models and leaves the rest of the view unchanged.
     #[allow(dead_code, reason = "each test program has its own copy of this module")]
-    pub fn tell_expected(&self, expected: ExpectedLoads) {
-        let held = View::clone(&self.views.borrow());
-        self.tell_view(View { expected_loads: Arc::new(expected), ..held });
+    pub fn publish_expected_loads(&self, expected: ExpectedLoads) {
+        let current = View::clone(&self.views.borrow());
+        self.publish_view(View { expected_loads: Arc::new(expected), ..current });
     }
 
-    /// Tells a view as it is.
-    pub fn tell_view(&self, view: View) {
+    /// Publishes this view.
+    pub fn publish_view(&self, view: View) {
         self.views.send(Arc::new(view)).expect("the data plane has ended");
     }
 
-    /// The next report of a missing model.
+    /// Waits for the next report of a missing model.
     pub async fn next_missing(&mut self) -> Feedback {
         loop {
-            let told = within(self.feedback.recv()).await.expect("the data plane has ended");
-            if matches!(told, Feedback::Missing { .. }) {
-                return told;
+            let feedback = with_timeout(self.feedback.recv()).await.expect("the data plane has ended");
+            if matches!(feedback, Feedback::Missing { .. }) {
+                return feedback;
             }
         }
     }
@@ -117,7 +122,7 @@
     serde_json::from_value(text).expect("settings")
 }
 
-/// A configuration with these routes and one service.
+/// A configuration with these routes and the service `llm`.
 pub fn document(routes: Value) -> Document {
     let text = json!({
         "revision": 1,
@@ -133,7 +138,7 @@
     Document::parse(text.to_string().as_bytes()).expect("document")
 }
 
-/// A route of that service.
+/// A route of the service `llm`, with these fields changed.
 pub fn route(kind: &str, changes: Value) -> Value {
     let mut route = json!({
         "name": format!("r-{kind}"), "host": HOST, "pathPrefix": format!("/{kind}/"), "routeKind": kind,
@@ -146,7 +151,7 @@
     route
 }
 
-/// One route of each kind; streams can be resumed.
+/// One route of each kind. Streams are resumable.
 pub fn all_routes() -> Value {
     json!([
         route("safe", json!({})),
@@ -155,7 +160,7 @@
     ])
 }
 
-/// A worker that takes requests.
+/// View of a worker that is ready for requests.
 pub fn worker_view(id: &str, address: SocketAddr, models: &[&str]) -> WorkerView {
     let resident = |name: &&str| ResidentModel { name: (*name).to_owned(), adapters: Vec::new() };
     WorkerView {
--- a/tests/data_plane_support/worker.rs
+++ b/tests/data_plane_support/worker.rs
@@ -1,6 +1,6 @@
-//! A worker of which a test writes every byte.
+//! Mock worker whose responses a test writes byte by byte.
 
-use super::{within, worker_view};
+use super::{with_timeout, worker_view};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,62 +10,62 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// A worker that hands each request to the test.
-pub struct StandInWorker {
+/// A worker that passes each request to the test.
+pub struct MockWorker {
     pub id: String,
     pub address: SocketAddr,
-    requests: mpsc::UnboundedReceiver<Received>,
+    requests: mpsc::UnboundedReceiver<ReceivedRequest>,
     connections: Rc<RefCell<u32>>,
 }
 
-/// A request at a worker, and its connection.
-pub struct Received {
-    pub line: String,
+/// A request that a worker has received, and its connection.
+pub struct ReceivedRequest {
+    pub request_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
     stream: TcpStream,
-    next: mpsc::UnboundedSender<Received>,
+    request_sender: mpsc::UnboundedSender<ReceivedRequest>,
 }
 
-impl StandInWorker {
-    /// Starts a worker.
-    pub async fn start(id: &str) -> StandInWorker {
+impl MockWorker {
+    /// Starts a worker on loopback.
+    pub async fn start(id: &str) -> MockWorker {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let (tell, requests) = mpsc::unbounded_channel();
+        let (request_sender, requests) = mpsc::unbounded_channel();
         let connections = Rc::new(RefCell::new(0));
         let count = connections.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 *count.borrow_mut() += 1;
-                tokio::task::spawn_local(read_request(stream, tell.clone()));
+                tokio::task::spawn_local(read_request(stream, request_sender.clone()));
             }
         });
-        StandInWorker { id: id.to_owned(), address, requests, connections }
+        MockWorker { id: id.to_owned(), address, requests, connections }
     }
 
-    /// How it registers.
+    /// The worker's view, with the model `small` resident.
     pub fn view(&self) -> WorkerView {
         worker_view(&self.id, self.address, &["small"])
     }
 
-    /// The next request.
-    pub async fn next(&mut self) -> Received {
-        within(self.requests.recv()).await.expect("worker ended")
+    /// Waits for the next request.
+    pub async fn next_request(&mut self) -> ReceivedRequest {
+        with_timeout(self.requests.recv()).await.expect("worker ended")
     }
 
-    /// Whether nothing has arrived that was not taken.
-    pub fn has_nothing_more(&mut self) -> bool {
+    /// Whether no further request has arrived.
+    pub fn has_no_more_requests(&mut self) -> bool {
         self.requests.try_recv().is_err()
     }
 
-    /// Connections that were opened to it.
+    /// Number of connections opened to the worker.
     pub fn connections(&self) -> u32 {
         *self.connections.borrow()
     }
 }
 
-async fn read_request(mut stream: TcpStream, next: mpsc::UnboundedSender<Received>) {
+async fn read_request(mut stream: TcpStream, request_sender: mpsc::UnboundedSender<ReceivedRequest>) {
     let mut bytes = Vec::new();
     let head_end = loop {
         if let Some(at) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
@@ -78,7 +78,7 @@
     };
     let head = String::from_utf8_lossy(&bytes[..head_end]).into_owned();
     let mut lines = head.lines();
-    let line = lines.next().unwrap_or_default().to_owned();
+    let request_line = lines.next().unwrap_or_default().to_owned();
     let headers: HashMap<String, String> = lines
         .filter_map(|line| line.split_once(':'))
         .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned()))
@@ -90,42 +90,41 @@
             return;
         }
     }
-    let tell = next.clone();
-    let _ = tell.send(Received { line, headers, body, stream, next });
+    let sender = request_sender.clone();
+    let _ = sender.send(ReceivedRequest { request_line, headers, body, stream, request_sender });
 }
 
-impl Received {
-    /// A header, empty if it is absent.
+impl ReceivedRequest {
+    /// Value of a header, or an empty string if it is absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Writes bytes.
     pub async fn write(&mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).await.expect("write to the data plane");
     }
 
-    /// Writes a head with the request's id and a stamp.
+    /// Writes a response head with the request's id and these headers.
     pub async fn write_head(&mut self, status: &str, headers: &str) {
         let id = self.header("request-id").to_owned();
         self.write(&format!("HTTP/1.1 {status}\r\nRequest-Id: {id}\r\n{headers}\r\n")).await;
     }
 
-    /// Answers whole, and waits for the next request on the connection.
-    pub async fn answer(mut self, status: &str, headers: &str, body: &str) {
+    /// Sends a complete response and reads the next request on the connection.
+    pub async fn respond(mut self, status: &str, headers: &str, body: &str) {
         let headers = format!("Response-Stamp: stamp-1\r\nContent-Length: {}\r\n{headers}", body.len());
         self.write_head(status, &headers).await;
         self.write(body).await;
-        tokio::task::spawn_local(read_request(self.stream, self.next));
+        tokio::task::spawn_local(read_request(self.stream, self.request_sender));
     }
 
-    /// Refuses without running.
+    /// Refuses the request as not executed.
     pub async fn refuse(mut self) {
         self.write_head("503 Service Unavailable", "Not-Executed: full\r\nContent-Length: 0\r\n").await;
-        tokio::task::spawn_local(read_request(self.stream, self.next));
+        tokio::task::spawn_local(read_request(self.stream, self.request_sender));
     }
 
-    /// Begins a stream of events.
+    /// Begins an event stream.
     pub async fn begin_stream(&mut self, headers: &str) {
         let headers = format!(
             "Response-Stamp: stamp-1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n{headers}"
@@ -133,15 +132,15 @@
         self.write_head("200 OK", &headers).await;
     }
 
-    /// Writes part of a stream as one chunk.
+    /// Writes part of an event stream as one chunk.
     pub async fn write_chunk(&mut self, bytes: &str) {
         self.write(&format!("{:x}\r\n{bytes}\r\n", bytes.len())).await;
     }
 
-    /// Ends a stream.
+    /// Ends the event stream and reads the next request on the connection.
     pub async fn end_stream(mut self) {
         self.write("0\r\n\r\n").await;
-        tokio::task::spawn_local(read_request(self.stream, self.next));
+        tokio::task::spawn_local(read_request(self.stream, self.request_sender));
     }
 
     /// Resets the connection.
@@ -151,10 +150,10 @@
     }
 
     /// Waits until the data plane closes the connection.
-    pub async fn closed(mut self) {
+    pub async fn wait_closed(mut self) {
         let mut buffer = [0; 64];
         let closed = async { while matches!(self.stream.read(&mut buffer).await, Ok(count) if count > 0) {} };
-        within(closed).await;
+        with_timeout(closed).await;
     }
 }
 
