--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders counted once: answers that come late, workers that restart, planners that follow one another.
+//! Matching of answers to orders: late answers, worker restarts and consecutive planners.
 
 use googletest::prelude::*;
 use switchhill_placement::{
@@ -34,7 +34,7 @@
     WorkerId(id.to_owned())
 }
 
-/// The list of workers with one on it.
+/// A worker list with a single worker.
 fn worker_list(id: &str, models: &[&str]) -> Input {
     Input::Workers(vec![WorkerView {
         id: worker_id(id),
@@ -66,16 +66,16 @@
     outputs.iter().filter_map(order).collect()
 }
 
-fn asked(outputs: &[Output]) -> Vec<WorkerId> {
-    let ask = |output: &Output| match output {
+fn report_requests(outputs: &[Output]) -> Vec<WorkerId> {
+    let request = |output: &Output| match output {
         Output::RequestReport { worker, .. } => Some(worker.clone()),
         _ => None,
     };
-    outputs.iter().filter_map(ask).collect()
+    outputs.iter().filter_map(request).collect()
 }
 
 #[gtest]
-fn a_restarted_worker_is_asked_before_it_gets_an_order_and_gets_it_under_its_new_identity() {
+fn a_restarted_worker_must_report_before_it_gets_an_order_under_its_new_id() {
     let mut planner = planner(0);
     planner.handle(10_000, worker_list("first", &[]));
     planner.handle(10_000, report("first", 5, &[]));
@@ -83,7 +83,7 @@
     expect_that!(before.len(), eq(1));
     let outputs = planner.handle(10_200, worker_list("second", &[]));
     expect_that!(orders(&outputs), is_empty());
-    expect_that!(asked(&outputs), elements_are![eq(&worker_id("second"))]);
+    expect_that!(report_requests(&outputs), elements_are![eq(&worker_id("second"))]);
     for now in (10_250..10_600).step_by(50) {
         expect_that!(orders(&planner.handle(now, Input::Tick)), is_empty());
         expect_that!(orders(&planner.handle(now, missing("a"))), is_empty());
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn an_answer_from_the_earlier_life_of_a_worker_changes_nothing() {
+fn an_answer_from_an_earlier_incarnation_of_a_worker_is_ignored() {
     for answer in [OrderAnswer::Accepted, OrderAnswer::NoAnswer, OrderAnswer::WrongInstance] {
         let mut planner = planner(0);
         planner.handle(10_000, worker_list("first", &[]));
@@ -110,15 +110,19 @@
         expect_that!(outputs, is_empty(), "{answer:?}");
         planner.handle(10_600, Input::OrderResult { order: after[0].0, answer: OrderAnswer::Accepted });
         for now in (10_700..14_800).step_by(50) {
-            expect_that!(asked(&planner.handle(now, Input::Tick)), is_empty(), "{answer:?} at {now}");
+            expect_that!(
+                report_requests(&planner.handle(now, Input::Tick)),
+                is_empty(),
+                "{answer:?} at {now}"
+            );
         }
         let outputs = planner.handle(14_800, Input::Tick);
-        expect_that!(asked(&outputs), elements_are![eq(&worker_id("second"))], "{answer:?}");
+        expect_that!(report_requests(&outputs), elements_are![eq(&worker_id("second"))], "{answer:?}");
     }
 }
 
 #[gtest]
-fn an_answer_to_an_order_of_an_earlier_planner_is_not_taken_for_one_of_a_later() {
+fn an_answer_to_an_order_of_the_previous_planner_is_not_matched_to_an_order_of_the_current_one() {
     let mut earlier = planner(0);
     earlier.handle(10_000, worker_list("w", &[]));
     earlier.handle(10_000, report("w", 5, &[]));
@@ -129,7 +133,7 @@
     let second = orders(&later.handle(20_000, missing("b")));
     expect_that!(second.len(), eq(1));
     later.handle(20_010, Input::OrderResult { order: first[0].0, answer: OrderAnswer::Busy });
-    let refused =
+    let outputs =
         later.handle(20_020, Input::OrderResult { order: second[0].0, answer: OrderAnswer::StaleFence });
-    expect_that!(refused, contains(eq(&Output::Superseded)));
+    expect_that!(outputs, contains(eq(&Output::Superseded)));
 }
--- a/crates/placement/tests/planner.rs
+++ b/crates/placement/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner input by input.
+//! Outputs of the planner for single inputs.
 
 use googletest::prelude::*;
 use switchhill_placement::{
@@ -46,7 +46,7 @@
     Input::Missing { model: model.to_owned(), adapter, waiting: 1, latency_target_ms: 6_000 }
 }
 
-/// A planner whose workers hold the given models and have reported so, at 10 s.
+/// A planner whose workers hold the given models and have reported them at 10 s.
 fn planner(workers: &[(&str, Vec<Resident>)]) -> Planner {
     let mut planner = Planner::new(0, PlannerSettings::default(), engine(), SEED);
     let views = workers.iter().map(|(id, models)| view(id, models.clone())).collect();
@@ -58,21 +58,21 @@
 }
 
 #[derive(Debug, PartialEq)]
-struct Sent {
+struct SentOrder {
     id: OrderId,
     worker: String,
     operation: Operation,
-    what: String,
+    servable: String,
     if_revision: Option<u64>,
 }
 
-fn sent(outputs: &[Output]) -> Vec<Sent> {
+fn sent_orders(outputs: &[Output]) -> Vec<SentOrder> {
     let order = |output: &Output| match output {
-        Output::Order { order, worker, operation, model, adapter, if_revision, .. } => Some(Sent {
+        Output::Order { order, worker, operation, model, adapter, if_revision, .. } => Some(SentOrder {
             id: *order,
             worker: worker.0.clone(),
             operation: *operation,
-            what: adapter.as_ref().map_or(model.clone(), |adapter| format!("{model}/{adapter}")),
+            servable: adapter.as_ref().map_or(model.clone(), |adapter| format!("{model}/{adapter}")),
             if_revision: *if_revision,
         }),
         _ => None,
@@ -80,38 +80,38 @@
     outputs.iter().filter_map(order).collect()
 }
 
-fn asks(outputs: &[Output]) -> usize {
+fn report_requests(outputs: &[Output]) -> usize {
     outputs.iter().filter(|output| matches!(output, Output::RequestReport { .. })).count()
 }
 
-fn answer(planner: &mut Planner, now: u64, order: &Sent, answer: OrderAnswer) -> Vec<Output> {
+fn answer(planner: &mut Planner, now: u64, order: &SentOrder, answer: OrderAnswer) -> Vec<Output> {
     planner.handle(now, Input::OrderResult { order: order.id, answer })
 }
 
-fn residents_told(outputs: &[Output]) -> Vec<Vec<Resident>> {
-    let told = |output: &Output| match output {
+fn resident_updates(outputs: &[Output]) -> Vec<Vec<Resident>> {
+    let update = |output: &Output| match output {
         Output::Resident { models, .. } => Some(models.clone()),
         _ => None,
     };
-    outputs.iter().filter_map(told).collect()
+    outputs.iter().filter_map(update).collect()
 }
 
 #[gtest]
 fn no_order_goes_to_a_worker_that_has_not_reported() {
     let mut planner = Planner::new(0, PlannerSettings::default(), engine(), SEED);
     let outputs = planner.handle(10_000, Input::Workers(vec![view("w", vec![])]));
-    expect_that!(asks(&outputs), eq(1));
-    expect_that!(sent(&planner.handle(10_000, missing("a", None))), is_empty());
-    expect_that!(sent(&planner.handle(10_100, report("w", true, 3, vec![]))), is_empty());
-    expect_that!(sent(&planner.handle(10_200, Input::Tick)), is_empty());
+    expect_that!(report_requests(&outputs), eq(1));
+    expect_that!(sent_orders(&planner.handle(10_000, missing("a", None))), is_empty());
+    expect_that!(sent_orders(&planner.handle(10_100, report("w", true, 3, vec![]))), is_empty());
+    expect_that!(sent_orders(&planner.handle(10_200, Input::Tick)), is_empty());
     planner.handle(10_400, report("w", false, 3, vec![]));
-    let orders = sent(&planner.handle(10_500, Input::Tick));
+    let orders = sent_orders(&planner.handle(10_500, Input::Tick));
     expect_that!(orders.len(), eq(1));
     expect_that!(orders[0].if_revision, some(eq(3)));
 }
 
 #[gtest]
-fn a_planner_only_watches_during_the_lease_of_its_predecessor() {
+fn a_planner_sends_no_orders_during_the_lease_of_the_previous_planner() {
     let settings = PlannerSettings { watch_ms: 3_000, ..PlannerSettings::default() };
     let mut planner = Planner::new(1_000, settings, engine(), SEED);
     let outputs = planner.handle(1_000, Input::Workers(vec![view("w", vec![])]));
@@ -127,102 +127,102 @@
 fn a_missing_model_is_loaded_and_announced_once_the_report_confirms_it() {
     let mut planner = planner(&[("w", vec![])]);
     let outputs = planner.handle(10_000, missing("a", None));
-    let orders = sent(&outputs);
+    let orders = sent_orders(&outputs);
     expect_that!(orders.len(), eq(1));
-    let expected = outputs.iter().any(|output| {
+    let has_estimate = outputs.iter().any(|output| {
         matches!(output, Output::ReadyEstimate { ready_in_ms: Some(wait), .. } if (4_000..5_000).contains(wait))
     });
-    expect_that!(expected, eq(true));
+    expect_that!(has_estimate, eq(true));
     answer(&mut planner, 10_010, &orders[0], OrderAnswer::Accepted);
-    expect_that!(asks(&planner.handle(13_900, Input::Tick)), eq(0));
-    expect_that!(asks(&planner.handle(14_300, Input::Tick)), eq(1));
+    expect_that!(report_requests(&planner.handle(13_900, Input::Tick)), eq(0));
+    expect_that!(report_requests(&planner.handle(14_300, Input::Tick)), eq(1));
     let outputs = planner.handle(14_310, report("w", true, 6, vec![]));
-    expect_that!(residents_told(&outputs), is_empty());
-    expect_that!(asks(&planner.handle(14_600, Input::Tick)), eq(1));
+    expect_that!(resident_updates(&outputs), is_empty());
+    expect_that!(report_requests(&planner.handle(14_600, Input::Tick)), eq(1));
     let outputs = planner.handle(14_610, report("w", false, 6, vec![resident("a", &[])]));
-    expect_that!(residents_told(&outputs), elements_are![elements_are![eq(&resident("a", &[]))]]);
+    expect_that!(resident_updates(&outputs), elements_are![elements_are![eq(&resident("a", &[]))]]);
 }
 
 #[gtest]
-fn a_report_older_than_the_last_order_is_asked_for_again() {
+fn a_report_older_than_the_last_order_is_requested_again() {
     let mut planner = planner(&[("w", vec![])]);
-    let orders = sent(&planner.handle(10_000, missing("a", None)));
+    let orders = sent_orders(&planner.handle(10_000, missing("a", None)));
     answer(&mut planner, 10_010, &orders[0], OrderAnswer::Accepted);
     planner.handle(14_300, Input::Tick);
     let outputs = planner.handle(14_310, report("w", false, 5, vec![]));
-    expect_that!(residents_told(&outputs), is_empty());
-    expect_that!(asks(&planner.handle(14_500, Input::Tick)), eq(1));
+    expect_that!(resident_updates(&outputs), is_empty());
+    expect_that!(report_requests(&planner.handle(14_500, Input::Tick)), eq(1));
 }
 
 #[gtest]
-fn what_gives_way_is_withdrawn_from_routers_before_its_unload_and_confirmed_before_the_load() {
+fn an_evicted_model_is_withdrawn_from_routers_before_its_unload_and_the_load_waits_for_confirmation() {
     let held = vec![resident("a", &[]), resident("b", &[])];
     let mut planner = planner(&[("w", held)]);
     let outputs = planner.handle(20_000, missing("c", None));
-    let unload = sent(&outputs);
+    let unload = sent_orders(&outputs);
     expect_that!(unload.len(), eq(1));
     expect_that!(unload[0].operation, eq(Operation::Unload));
-    expect_that!(residents_told(&outputs).len(), eq(1));
-    expect_that!(residents_told(&outputs)[0].len(), eq(1));
+    expect_that!(resident_updates(&outputs).len(), eq(1));
+    expect_that!(resident_updates(&outputs)[0].len(), eq(1));
     let outputs = answer(&mut planner, 20_010, &unload[0], OrderAnswer::Accepted);
-    expect_that!(sent(&outputs), is_empty());
+    expect_that!(sent_orders(&outputs), is_empty());
     planner.handle(20_300, Input::Tick);
-    let kept = if unload[0].what == "a" { "b" } else { "a" };
+    let kept = if unload[0].servable == "a" { "b" } else { "a" };
     let outputs = planner.handle(20_310, report("w", false, 6, vec![resident(kept, &[])]));
-    let load = sent(&outputs);
+    let load = sent_orders(&outputs);
     expect_that!(load.len(), eq(1));
-    expect_that!(load[0].what, eq("c"));
+    expect_that!(load[0].servable, eq("c"));
     expect_that!(load[0].if_revision, some(eq(6)));
 }
 
 #[gtest]
-fn an_unanswered_load_counts_as_there_even_when_a_report_does_not_show_it() {
+fn an_unanswered_load_counts_as_loaded_even_if_a_report_does_not_show_it() {
     let mut planner = planner(&[("w", vec![resident("a", &[])])]);
-    let orders = sent(&planner.handle(20_000, missing("b", None)));
-    expect_that!(orders[0].what, eq("b"));
+    let orders = sent_orders(&planner.handle(20_000, missing("b", None)));
+    expect_that!(orders[0].servable, eq("b"));
     answer(&mut planner, 20_010, &orders[0], OrderAnswer::NoAnswer);
-    expect_that!(asks(&planner.handle(20_400, Input::Tick)), eq(1));
+    expect_that!(report_requests(&planner.handle(20_400, Input::Tick)), eq(1));
     planner.handle(20_410, report("w", false, 5, vec![resident("a", &[])]));
     let mut outputs = planner.handle(20_420, missing("c", None));
     outputs.extend(planner.handle(20_500, Input::Tick));
-    let loads: Vec<Sent> =
-        sent(&outputs).into_iter().filter(|order| order.operation == Operation::Load).collect();
-    expect_that!(loads.iter().all(|order| order.what == "b"), eq(true), "{loads:?}");
+    let loads: Vec<SentOrder> =
+        sent_orders(&outputs).into_iter().filter(|order| order.operation == Operation::Load).collect();
+    expect_that!(loads.iter().all(|order| order.servable == "b"), eq(true), "{loads:?}");
 }
 
 #[gtest]
-fn an_adapter_is_ordered_where_its_model_stands_and_announced_after_its_load() {
+fn an_adapter_is_loaded_where_its_model_is_loaded_and_announced_after_its_load() {
     let mut planner = planner(&[("v", vec![resident("b", &[])]), ("w", vec![resident("a", &[])])]);
-    let orders = sent(&planner.handle(20_000, missing("a", Some("a3"))));
+    let orders = sent_orders(&planner.handle(20_000, missing("a", Some("a3"))));
     expect_that!(orders.len(), eq(1));
-    expect_that!((orders[0].worker.as_str(), orders[0].what.as_str()), eq(("w", "a/a3")));
+    expect_that!((orders[0].worker.as_str(), orders[0].servable.as_str()), eq(("w", "a/a3")));
     answer(&mut planner, 20_010, &orders[0], OrderAnswer::Accepted);
     let outputs = planner.handle(20_050, Input::Tick);
-    expect_that!(residents_told(&outputs), elements_are![elements_are![eq(&resident("a", &["a3"]))]]);
+    expect_that!(resident_updates(&outputs), elements_are![elements_are![eq(&resident("a", &["a3"]))]]);
 }
 
 #[gtest]
-fn the_adapter_unused_for_longest_gives_way_when_all_slots_are_taken() {
+fn the_least_recently_used_adapter_is_evicted_when_all_slots_are_taken() {
     let mut planner = planner(&[("w", vec![resident("a", &["a1", "a2"])])]);
     planner.handle(20_000, missing("a", Some("a1")));
-    let orders = sent(&planner.handle(20_100, missing("a", Some("a3"))));
+    let orders = sent_orders(&planner.handle(20_100, missing("a", Some("a3"))));
     expect_that!(orders.len(), eq(1));
     expect_that!(orders[0].operation, eq(Operation::Unload));
-    expect_that!(orders[0].what, eq("a/a2"));
+    expect_that!(orders[0].servable, eq("a/a2"));
 }
 
 #[gtest]
-fn the_bucket_of_a_new_planner_is_empty() {
+fn the_token_bucket_of_a_new_planner_is_empty() {
     let mut planner = Planner::new(0, PlannerSettings::default(), engine(), SEED);
     planner.handle(0, Input::Workers(vec![view("w", vec![])]));
     planner.handle(0, report("w", false, 0, vec![]));
-    expect_that!(sent(&planner.handle(0, missing("a", None))), is_empty());
-    expect_that!(sent(&planner.handle(100, Input::Tick)), is_empty());
-    expect_that!(sent(&planner.handle(300, Input::Tick)).len(), eq(1));
+    expect_that!(sent_orders(&planner.handle(0, missing("a", None))), is_empty());
+    expect_that!(sent_orders(&planner.handle(100, Input::Tick)), is_empty());
+    expect_that!(sent_orders(&planner.handle(300, Input::Tick)).len(), eq(1));
 }
 
 #[gtest]
-fn a_reload_from_the_workers_own_disk_needs_no_token() {
+fn a_reload_from_the_disk_of_the_worker_needs_no_store_token() {
     let mut engine = engine();
     engine.loads_per_s = 0.0;
     let mut planner = Planner::new(0, PlannerSettings::default(), engine, SEED);
@@ -232,14 +232,14 @@
     planner.handle(0, Input::Workers(vec![WorkerView { as_of_sequence: 9, ..view("w", vec![]) }]));
     planner.handle(9_000, Input::Workers(vec![WorkerView { as_of_sequence: 10, ..view("w", vec![]) }]));
     planner.handle(9_010, report("w", false, 2, vec![]));
-    expect_that!(sent(&planner.handle(9_020, missing("c", None))), is_empty());
-    expect_that!(sent(&planner.handle(9_030, missing("a", None))).len(), eq(1));
+    expect_that!(sent_orders(&planner.handle(9_020, missing("c", None))), is_empty());
+    expect_that!(sent_orders(&planner.handle(9_030, missing("a", None))).len(), eq(1));
 }
 
 #[gtest]
-fn a_refused_fence_ends_the_planner() {
+fn a_stale_fencing_token_stops_the_planner() {
     let mut planner = planner(&[("w", vec![])]);
-    let orders = sent(&planner.handle(20_000, missing("a", None)));
+    let orders = sent_orders(&planner.handle(20_000, missing("a", None)));
     let outputs = answer(&mut planner, 20_010, &orders[0], OrderAnswer::StaleFence);
     expect_that!(outputs, contains(eq(&Output::Superseded)));
     expect_that!(planner.is_superseded(), eq(true));
@@ -247,86 +247,86 @@
 }
 
 #[gtest]
-fn an_order_met_by_another_is_repeated_after_a_report() {
+fn an_order_rejected_as_busy_is_repeated_after_a_report() {
     let mut planner = planner(&[("w", vec![])]);
-    let orders = sent(&planner.handle(20_000, missing("a", None)));
+    let orders = sent_orders(&planner.handle(20_000, missing("a", None)));
     let outputs = answer(&mut planner, 20_010, &orders[0], OrderAnswer::Busy);
-    expect_that!(sent(&outputs), is_empty());
-    expect_that!(asks(&planner.handle(20_200, Input::Tick)), eq(1));
-    let again = sent(&planner.handle(20_210, report("w", false, 9, vec![])));
+    expect_that!(sent_orders(&outputs), is_empty());
+    expect_that!(report_requests(&planner.handle(20_200, Input::Tick)), eq(1));
+    let again = sent_orders(&planner.handle(20_210, report("w", false, 9, vec![])));
     expect_that!(again.len(), eq(1));
     expect_that!(again[0].if_revision, some(eq(9)));
 }
 
 #[gtest]
-fn a_rejected_model_is_not_ordered_there_again_at_once() {
+fn a_rejected_load_is_not_repeated_on_the_same_worker_at_once() {
     let mut planner = planner(&[("w", vec![])]);
-    let orders = sent(&planner.handle(20_000, missing("a", None)));
+    let orders = sent_orders(&planner.handle(20_000, missing("a", None)));
     answer(&mut planner, 20_010, &orders[0], OrderAnswer::Rejected);
     planner.handle(20_200, Input::Tick);
     planner.handle(20_210, report("w", false, 5, vec![]));
     for now in (20_250..22_000).step_by(50) {
-        expect_that!(sent(&planner.handle(now, Input::Tick)), is_empty());
+        expect_that!(sent_orders(&planner.handle(now, Input::Tick)), is_empty());
     }
 }
 
-fn expectations(outputs: &[Output]) -> Vec<Option<u64>> {
-    let told = |output: &Output| match output {
+fn ready_estimates(outputs: &[Output]) -> Vec<Option<u64>> {
+    let update = |output: &Output| match output {
         Output::ReadyEstimate { ready_in_ms, .. } => Some(*ready_in_ms),
         _ => None,
     };
-    outputs.iter().filter_map(told).collect()
+    outputs.iter().filter_map(update).collect()
 }
 
-/// All gatekeepers are told what the planner answers to one of them. Each of them reports a model that its requests wait
-/// for ten times a second, and with a message to all for each report a large fleet spent its time on hearing the same.
+/// Every answer of the planner goes to all data planes, and each of them reports a missing model ten times a second.
+/// When each report caused an answer, a large fleet spent its time on processing identical messages.
 #[gtest]
-fn reports_of_a_model_are_answered_once_while_nothing_changes() {
+fn reports_of_a_missing_model_are_answered_once_while_the_estimate_is_unchanged() {
     for state in [WorkerState::Ready, WorkerState::Draining] {
         let mut planner = planner(&[("w", vec![])]);
         planner.handle(20_000, Input::Workers(vec![WorkerView { state, ..view("w", vec![]) }]));
-        let first = expectations(&planner.handle(20_000, missing("a", None)));
-        let is_planned = state == WorkerState::Ready;
+        let first = ready_estimates(&planner.handle(20_000, missing("a", None)));
+        let has_estimate = state == WorkerState::Ready;
         expect_that!(first.len(), eq(1), "{state:?}");
-        expect_that!(first[0].is_some(), eq(is_planned), "{state:?}");
+        expect_that!(first[0].is_some(), eq(has_estimate), "{state:?}");
         for now in (20_005..21_000).step_by(5) {
-            let again = expectations(&planner.handle(now, missing("a", None)));
+            let again = ready_estimates(&planner.handle(now, missing("a", None)));
             expect_that!(again, is_empty(), "{state:?} at {now}");
         }
-        // A gatekeeper that started since, or lost the message, hears it then.
-        let repeated = expectations(&planner.handle(21_000, missing("a", None)));
+        // Repeated for data planes that started since or lost the message.
+        let repeated = ready_estimates(&planner.handle(21_000, missing("a", None)));
         expect_that!(repeated.len(), eq(1), "{state:?}");
     }
 }
 
 #[gtest]
-fn a_report_of_a_model_that_comes_later_than_told_is_answered_at_once() {
+fn a_report_of_a_missing_model_is_answered_at_once_if_its_load_is_delayed() {
     let mut planner = planner(&[("w", vec![])]);
     let outputs = planner.handle(20_000, missing("a", None));
-    expect_that!(expectations(&outputs).len(), eq(1));
-    let order = sent(&outputs).remove(0);
-    // The load begins 200 ms later than the planner reckoned.
+    expect_that!(ready_estimates(&outputs).len(), eq(1));
+    let order = sent_orders(&outputs).remove(0);
+    // The load starts 200 ms later than the planner estimated.
     answer(&mut planner, 20_200, &order, OrderAnswer::Accepted);
-    expect_that!(expectations(&planner.handle(20_210, missing("a", None))).len(), eq(1));
-    expect_that!(expectations(&planner.handle(20_220, missing("a", None))), is_empty());
+    expect_that!(ready_estimates(&planner.handle(20_210, missing("a", None))).len(), eq(1));
+    expect_that!(ready_estimates(&planner.handle(20_220, missing("a", None))), is_empty());
 }
 
 #[gtest]
-fn a_model_not_configured_is_not_expected() {
+fn a_model_that_is_not_configured_has_no_ready_estimate() {
     let mut planner = planner(&[("w", vec![])]);
     let outputs = planner.handle(20_000, missing("z", None));
     expect_that!(outputs, elements_are![matches_pattern!(Output::ReadyEstimate { ready_in_ms: none(), .. })]);
 }
 
 #[gtest]
-fn a_model_dropped_from_the_configuration_gives_way_first() {
+fn a_model_removed_from_the_configuration_is_evicted_first() {
     let mut planner = planner(&[("w", vec![resident("a", &[]), resident("d", &[])])]);
     let mut engine = engine();
     engine.models.remove(0);
     planner.set_engine(20_000, engine);
-    let orders = sent(&planner.handle(20_000, missing("b", None)));
+    let orders = sent_orders(&planner.handle(20_000, missing("b", None)));
     expect_that!(orders[0].operation, eq(Operation::Unload));
-    expect_that!(orders[0].what, eq("a"));
+    expect_that!(orders[0].servable, eq("a"));
 }
 
 #[gtest]
@@ -334,7 +334,7 @@
     for state in [WorkerState::Draining, WorkerState::Suspected] {
         let mut planner = planner(&[("w", vec![])]);
         planner.handle(20_000, Input::Workers(vec![WorkerView { state, ..view("w", vec![]) }]));
-        expect_that!(sent(&planner.handle(20_000, missing("a", None))), is_empty(), "{state:?}");
+        expect_that!(sent_orders(&planner.handle(20_000, missing("a", None))), is_empty(), "{state:?}");
     }
 }
 
@@ -351,7 +351,7 @@
 }
 
 #[gtest]
-fn an_adapter_the_model_does_not_have_is_not_ordered() {
+fn an_adapter_that_the_model_does_not_have_is_not_ordered() {
     let mut planner = planner(&[("w", vec![resident("a", &[])])]);
     for adapter in ["a0", "a13", "b1", ""] {
         let outputs = planner.handle(20_000, missing("a", Some(adapter)));
@@ -364,13 +364,13 @@
 }
 
 #[gtest]
-fn what_was_ordered_to_a_worker_that_no_longer_answers_is_ordered_elsewhere() {
+fn a_load_ordered_from_an_unresponsive_worker_is_ordered_elsewhere() {
     let mut planner = planner(&[("v", vec![]), ("w", vec![])]);
-    let orders = sent(&planner.handle(20_000, missing("a", None)));
+    let orders = sent_orders(&planner.handle(20_000, missing("a", None)));
     answer(&mut planner, 20_010, &orders[0], OrderAnswer::NoAnswer);
     let mut elsewhere = Vec::new();
     for now in (20_050..24_000).step_by(50) {
-        elsewhere.extend(sent(&planner.handle(now, Input::Tick)));
+        elsewhere.extend(sent_orders(&planner.handle(now, Input::Tick)));
         if now % 1_000 == 0 {
             planner.handle(now, missing("a", None));
         }
@@ -380,7 +380,7 @@
 }
 
 #[gtest]
-fn a_worker_with_far_more_to_do_than_the_others_is_relieved() {
+fn a_worker_with_far_more_load_than_the_others_is_relieved() {
     let mut planner = planner(&[("u", vec![]), ("v", vec![]), ("w", vec![resident("b", &[])])]);
     let mut orders = Vec::new();
     for now in (20_000..23_000).step_by(100) {
@@ -399,29 +399,29 @@
             let worker = WorkerId("w".to_owned());
             planner.handle(now, Input::Load { worker, running: 4, queued: 0, kv_used: 90, kv_total: 100 });
         }
-        orders.extend(sent(&planner.handle(now, Input::Tick)));
+        orders.extend(sent_orders(&planner.handle(now, Input::Tick)));
     }
     expect_that!(orders.len(), eq(1));
-    expect_that!(orders[0].what, eq("b"));
+    expect_that!(orders[0].servable, eq("b"));
 }
 
-/// Guarded against: each of many gatekeepers that report a model which stands was answered to all of them.
+/// Guards against an answer to all data planes for each report of a model that is served.
 #[gtest]
-fn reports_of_what_stands_are_answered_once_a_second_to_the_fleet() {
+fn reports_of_a_served_model_are_answered_once_a_second() {
     let mut planner = planner(&[("w", vec![resident("a", &[])])]);
-    let expected = |outputs: &[Output]| {
+    let served_estimates = |outputs: &[Output]| {
         outputs
             .iter()
             .filter(|output| matches!(output, Output::ReadyEstimate { ready_in_ms: Some(0), .. }))
             .count()
     };
     let first = planner.handle(20_000, missing("a", None));
-    expect_that!((expected(&first), residents_told(&first).len()), eq((1, 0)));
+    expect_that!((served_estimates(&first), resident_updates(&first).len()), eq((1, 0)));
     for now in (20_010..21_000).step_by(90) {
         expect_that!(planner.handle(now, missing("a", None)), is_empty(), "at {now} ms");
     }
     let later = planner.handle(21_000, missing("a", None));
-    expect_that!((expected(&later), residents_told(&later).len()), eq((1, 1)));
+    expect_that!((served_estimates(&later), resident_updates(&later).len()), eq((1, 1)));
     let long_after = planner.handle(30_000, missing("a", None));
-    expect_that!((expected(&long_after), residents_told(&long_after).len()), eq((1, 0)));
+    expect_that!((served_estimates(&long_after), resident_updates(&long_after).len()), eq((1, 0)));
 }
