--- a/crates/placement/tests/many_missing_models.rs
+++ b/crates/placement/tests/many_missing_models.rs
@@ -1,7 +1,8 @@
-//! More models asked for at once than one round of the planner tries, on many workers.
+//! More missing models at once than the planner attempts to place in one round, on many workers.
 //!
-//! Guarded against: wants that rank first and can't be placed kept all others from being tried; and a round looked for room
-//! on every worker for every want whose requests had waited for a second, which grows with the product of both.
+//! Guards against two faults. High-ranked models that cannot be placed kept all others from being attempted. A round
+//! evaluated every worker for every model whose requests had waited for a second, so that its cost grew with the
+//! product of both numbers.
 
 use googletest::prelude::*;
 use switchhill_placement::{
@@ -10,9 +11,9 @@
 };
 
 const TICK_MS: u64 = 25;
-/// Megabytes of a worker.
+/// Memory of a worker in megabytes.
 const WORKER_MB: f64 = 200_000.0;
-/// A model that leaves room for a small one beside it, and not for a large one.
+/// Size of a model that leaves memory for a small model but not for a large one.
 const BUSY_MB: f64 = 100_000.0;
 const LARGE_MB: f64 = 150_000.0;
 const SMALL_MB: f64 = 50_000.0;
@@ -21,7 +22,7 @@
     ModelSpec { name, weights_mb, load_ms, adapters: 0, adapter_mb: 0.0 }
 }
 
-struct Setting {
+struct Scenario {
     workers: usize,
     large: usize,
     small: usize,
@@ -29,8 +30,8 @@
     loads_per_s: f64,
 }
 
-impl Setting {
-    /// Each worker holds a busy model of its own.
+impl Scenario {
+    /// Models of the scenario: a busy one per worker, and the large and small ones that are missing.
     fn engine(&self) -> Engine {
         let busy = (0..self.workers).map(|n| spec(format!("busy{n}"), BUSY_MB, self.load_ms));
         let large = (0..self.large).map(|n| spec(format!("large{n}"), LARGE_MB, self.load_ms));
@@ -45,7 +46,7 @@
     }
 
     fn planner(&self) -> Planner {
-        // Nothing but what is missing is loaded.
+        // Only missing models are loaded.
         let settings = PlannerSettings {
             growth: false,
             crowded_first: false,
@@ -71,8 +72,8 @@
         planner
     }
 
-    /// Demand that lets no busy model give way.
-    fn tell_demand(&self, planner: &mut Planner, now: u64) {
+    /// Reports so much demand for the busy models that none of them may be evicted.
+    fn report_demand(&self, planner: &mut Planner, now: u64) {
         for n in 0..self.workers {
             let input = Input::Demand {
                 model: format!("busy{n}"),
@@ -86,15 +87,15 @@
         }
     }
 
-    /// Asks for all models that stand nowhere each 250 ms, the large ones with more requests; returns which small ones
-    /// were ordered, and what was counted from the second second on.
+    /// Reports all missing models every 250 ms, the large ones with more waiting requests. Returns the number of small
+    /// models whose load was ordered, and the counters after the first two seconds.
     fn run(&self, seconds: u64) -> (usize, PlacementCounters) {
         let mut planner = self.planner();
         let mut ordered = std::collections::BTreeSet::new();
         for now in (TICK_MS..=seconds * 1_000).step_by(TICK_MS as usize) {
             let mut outputs = Vec::new();
             if now % 500 == 0 {
-                self.tell_demand(&mut planner, now);
+                self.report_demand(&mut planner, now);
             }
             if now > 1_000 && now % 250 == 0 {
                 let large = (0..self.large).map(|n| (format!("large{n}"), 9));
@@ -107,8 +108,8 @@
             outputs.extend(planner.handle(now, Input::Tick));
             for output in outputs {
                 if let Output::Order { order, operation, model, .. } = output {
-                    let counts = operation == Operation::Load && model.starts_with("small");
-                    ordered.extend(counts.then_some(model));
+                    let is_small_load = operation == Operation::Load && model.starts_with("small");
+                    ordered.extend(is_small_load.then_some(model));
                     planner.handle(now, Input::OrderResult { order, answer: OrderAnswer::Accepted });
                 }
             }
@@ -121,24 +122,24 @@
 }
 
 #[gtest]
-fn wants_that_can_not_be_placed_keep_no_other_from_its_turn() {
+fn models_that_cannot_be_placed_do_not_starve_others() {
     for (load_ms, loads_per_s) in [(600, 50.0), (4_000, 4.0)] {
-        let setting = Setting { workers: 10, large: 60, small: 8, load_ms, loads_per_s };
-        let (ordered, _) = setting.run(10);
+        let scenario = Scenario { workers: 10, large: 60, small: 8, load_ms, loads_per_s };
+        let (ordered, _) = scenario.run(10);
         expect_that!(ordered, eq(8), "loads of {load_ms} ms");
     }
 }
 
 #[gtest]
-fn the_work_of_a_second_is_bounded_whatever_the_number_of_wants_and_workers() {
-    // Ten rounds a second, each with two passes of 32 tries, each of 64 workers.
-    let most = 10 * 2 * 32 * 64;
-    for (workers, wants) in [(10, 300), (100, 300), (300, 600)] {
-        let setting = Setting { workers, large: wants, small: 0, load_ms: 600, loads_per_s: 50.0 };
-        let (_, account) = setting.run(4);
-        expect_that!(account.no_memory, gt(0), "{workers} workers, {wants} wants");
-        let considered = account.workers_considered;
-        expect_that!(considered, le(2 * most), "{workers} workers, {wants} wants");
-        println!("{workers} workers, {wants} wants: {considered} workers considered in 2 s");
+fn work_per_second_is_bounded_for_any_number_of_missing_models_and_workers() {
+    // Ten rounds a second, each with two passes of 32 attempts, each of which evaluates 64 workers.
+    let max_per_s = 10 * 2 * 32 * 64;
+    for (workers, missing) in [(10, 300), (100, 300), (300, 600)] {
+        let scenario = Scenario { workers, large: missing, small: 0, load_ms: 600, loads_per_s: 50.0 };
+        let (_, counters) = scenario.run(4);
+        expect_that!(counters.no_memory, gt(0), "{workers} workers, {missing} missing");
+        let considered = counters.workers_considered;
+        expect_that!(considered, le(2 * max_per_s), "{workers} workers, {missing} missing");
+        println!("{workers} workers, {missing} missing: {considered} workers considered in 2 s");
     }
 }
--- a/crates/placement/tests/planner_takeover.rs
+++ b/crates/placement/tests/planner_takeover.rs
@@ -1,12 +1,12 @@
-//! What a planner that takes over tells the routers.
+//! Announcement of loaded models by a new planner.
 //!
-//! What users may see: after the machine with the placer's role was cut off, a model that stands on a worker is asked for
-//! and refused as if no worker held it, until the new planner changes something on that worker.
-//! What happens: the former planner orders a load and is cut off before it can tell that the model stands. Routers
-//! believe the newest word of a planner before a worker's own heartbeat. The next planner learns of the model from the
-//! heartbeat, finds the same in the worker's report, and tells nothing, since nothing differs from the heartbeat.
-//! The evidence: found by reading while another cause was looked for. On the day that was played the placer counted
-//! two reports of requests for models that stood by its record in the 5 s after the change, and none later.
+//! Guards against a loaded model that is requested and rejected as missing after the planner's node was isolated. The
+//! previous planner ordered the load and was cut off before it could announce the model. Data planes trust the last
+//! announcement of a planner over the heartbeats of the worker. The next planner learned of the model from a heartbeat,
+//! found the same in the worker's report, and announced nothing because nothing differed from the heartbeat. Requests
+//! were rejected until the new planner changed something on that worker. Found by review while another fault was
+//! investigated. In the run that was examined, the planner received two reports of missing models that were loaded
+//! according to its record within 5 s of the change, and none later.
 
 use googletest::prelude::*;
 use switchhill_placement::{
@@ -53,7 +53,7 @@
     Input::Report { worker: worker(), busy: false, sequence, models: residents(models) }
 }
 
-fn told(outputs: &[Output]) -> Vec<Vec<Resident>> {
+fn announcements(outputs: &[Output]) -> Vec<Vec<Resident>> {
     let residents = outputs.iter().filter_map(|output| match output {
         Output::Resident { models, .. } => Some(models.clone()),
         _ => None,
@@ -62,58 +62,58 @@
 }
 
 #[gtest]
-fn a_new_planner_tells_what_a_worker_holds_although_its_heartbeat_said_the_same() {
+fn a_new_planner_announces_loaded_models_even_if_the_heartbeat_lists_the_same() {
     let mut planner = Planner::new(1_000, PlannerSettings::default(), engine(), 1);
     let mut outputs = planner.handle(1_000, view(3, &["first", "second"]));
     outputs.extend(planner.handle(1_010, report(5, &["first", "second"])));
-    expect_that!(told(&outputs), eq(&vec![residents(&["first", "second"])]));
+    expect_that!(announcements(&outputs), eq(&vec![residents(&["first", "second"])]));
 }
 
 #[gtest]
-fn a_planner_tells_it_once() {
+fn a_planner_announces_loaded_models_once() {
     let mut planner = Planner::new(1_000, PlannerSettings::default(), engine(), 1);
     planner.handle(1_000, view(3, &["first"]));
     planner.handle(1_010, report(5, &["first"]));
     let mut outputs = planner.handle(2_200, view(4, &["first"]));
     outputs.extend(planner.handle(2_210, report(5, &["first"])));
-    expect_that!(told(&outputs), is_empty());
+    expect_that!(announcements(&outputs), is_empty());
 }
 
 fn missing(model: &str) -> Input {
     Input::Missing { model: model.to_owned(), adapter: None, waiting: 1, latency_target_ms: 1_000 }
 }
 
-fn planner_that_has_told() -> Planner {
+fn planner_after_first_announcement() -> Planner {
     let mut planner = Planner::new(1_000, PlannerSettings::default(), engine(), 1);
     planner.handle(1_000, view(3, &["first"]));
     planner.handle(1_010, report(5, &["first"]));
     planner
 }
 
-/// A gatekeeper that was not told where a model stands, since a machine between was frozen, refused it until something
-/// else changed on that worker: workers are compared by digest, and what they hold is not in it.
+/// A data plane that missed an announcement because a node on the path was frozen rejected requests for the model until
+/// something else changed on that worker: worker tables are compared by digest, which does not cover loaded models.
 #[gtest]
-fn what_a_worker_holds_is_told_again_while_somebody_reports_it_missing() {
-    let mut planner = planner_that_has_told();
-    let mut told_at = Vec::new();
+fn loaded_models_are_announced_again_while_they_are_reported_missing() {
+    let mut planner = planner_after_first_announcement();
+    let mut announced_at = Vec::new();
     for now in (5_000..8_000).step_by(100) {
         let outputs = planner.handle(now, missing("first"));
-        for models in told(&outputs) {
+        for models in announcements(&outputs) {
             expect_that!(models, eq(&residents(&["first"])));
-            told_at.push(now);
+            announced_at.push(now);
         }
     }
-    expect_that!(told_at, elements_are![eq(&6_000), eq(&7_000)]);
+    expect_that!(announced_at, elements_are![eq(&6_000), eq(&7_000)]);
 }
 
 #[gtest]
-fn reports_that_were_on_their_way_when_a_model_came_to_stand_tell_nothing_again() {
-    let mut planner = planner_that_has_told();
+fn reports_sent_before_a_model_was_loaded_cause_no_further_announcement() {
+    let mut planner = planner_after_first_announcement();
     let mut outputs = Vec::new();
-    // Two bursts, each over before the next begins.
+    // Two separate bursts, each shorter than the interval of repeated announcements.
     for now in (5_000..5_900).step_by(100).chain((9_000..9_900).step_by(100)) {
         outputs.extend(planner.handle(now, missing("first")));
         outputs.extend(planner.handle(now + 50, Input::Tick));
     }
-    expect_that!(told(&outputs), is_empty());
+    expect_that!(announcements(&outputs), is_empty());
 }
--- a/crates/placement/tests/scale.rs
+++ b/crates/placement/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The largest fleets: the work of a round stays bounded by what is active.
+//! Planning for the largest fleets: the work of a round is bounded by the number of active models.
 
 use googletest::prelude::*;
 use switchhill_placement::{
@@ -7,16 +7,16 @@
 };
 
 const MODELS: usize = 1_400;
-const ADAPTERS_OF_EACH: u32 = 44;
+const ADAPTERS_PER_MODEL: u32 = 44;
 const WORKERS: usize = 940;
-const ACTIVE: usize = 300;
+const ACTIVE_MODELS: usize = 300;
 
 fn engine() -> Engine {
     let spec = |rank: usize| ModelSpec {
         name: format!("m{rank}"),
         weights_mb: 70_000.0,
         load_ms: 4_000,
-        adapters: ADAPTERS_OF_EACH,
+        adapters: ADAPTERS_PER_MODEL,
         adapter_mb: 60.0,
     };
     Engine {
@@ -40,12 +40,12 @@
     (0..WORKERS).map(view).collect()
 }
 
-/// Tells demand for adapters of many models, and for models that stand nowhere.
-fn tell(planner: &mut Planner, now: u64) -> Vec<Output> {
+/// Reports demand for adapters of many models and the same adapters as missing; some of the models are on no worker.
+fn report_demand(planner: &mut Planner, now: u64) -> Vec<Output> {
     let mut outputs = Vec::new();
-    for rank in 0..ACTIVE {
-        let model = format!("m{}", rank * MODELS / ACTIVE);
-        let adapter = Some(format!("a{}", 1 + rank as u32 % ADAPTERS_OF_EACH));
+    for rank in 0..ACTIVE_MODELS {
+        let model = format!("m{}", rank * MODELS / ACTIVE_MODELS);
+        let adapter = Some(format!("a{}", 1 + rank as u32 % ADAPTERS_PER_MODEL));
         outputs.extend(planner.handle(
             now,
             Input::Demand {
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn a_large_fleet_is_planned_for() {
+fn loads_are_planned_for_a_large_fleet() {
     let mut planner = Planner::new(0, PlannerSettings::default(), engine(), 1);
     planner.handle(0, Input::Workers(views()));
     for view in views() {
@@ -76,7 +76,7 @@
     for now in (500..5_000).step_by(50) {
         let mut outputs = planner.handle(now, Input::Tick);
         if now % 500 == 0 {
-            outputs.extend(tell(&mut planner, now));
+            outputs.extend(report_demand(&mut planner, now));
         }
         for output in outputs {
             if let Output::Order { order, .. } = output {
@@ -85,5 +85,5 @@
             }
         }
     }
-    expect_that!(orders, ge(ACTIVE));
+    expect_that!(orders, ge(ACTIVE_MODELS));
 }
--- a/crates/placement/tests/turns.rs
+++ b/crates/placement/tests/turns.rs
@@ -1,4 +1,5 @@
-//! Turns: what copies of crowded models and missing models get of the weight store and of the workers.
+//! Alternation between replica loads of overloaded models and loads of missing models, which share the weight store and
+//! the workers.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +12,7 @@
 const SEED: u64 = 7;
 const LOAD_MS: u64 = 4_000;
 const TICK_MS: u64 = 50;
-const TELL_MS: u64 = 500;
+const DEMAND_INTERVAL_MS: u64 = 500;
 const WORKERS: usize = 40;
 const ADAPTERS: u32 = 80;
 const RARE: [&str; 6] = ["r0", "r1", "r2", "r3", "r4", "r5"];
@@ -31,18 +32,18 @@
 }
 
 #[derive(Debug, Default)]
-struct Obedient {
+struct SimulatedWorker {
     models: Vec<Resident>,
     sequence: u64,
-    under_way: Option<(u64, Operation, String)>,
+    in_progress: Option<(u64, Operation, String)>,
 }
 
-/// A planner, and workers that take each order and carry it out in its time.
+/// A planner with workers that accept every order and execute it in the expected time.
 struct Fleet {
     now: u64,
     planner: Planner,
-    workers: BTreeMap<WorkerId, Obedient>,
-    /// Loads of models in the order in which they were sent, with their times.
+    workers: BTreeMap<WorkerId, SimulatedWorker>,
+    /// Model loads in the order in which they were sent, with the time of each.
     loads: Vec<(u64, String)>,
 }
 
@@ -51,30 +52,31 @@
         let planner = Planner::new(0, PlannerSettings::default(), engine(loads_per_s), SEED);
         let workers = workers
             .into_iter()
-            .map(|(id, models)| (WorkerId(id), Obedient { models, ..Obedient::default() }))
+            .map(|(id, models)| (WorkerId(id), SimulatedWorker { models, ..SimulatedWorker::default() }))
             .collect();
         let mut fleet = Self { now: 10_000, planner, workers, loads: Vec::new() };
         let views = fleet.workers.iter().map(|(id, worker)| view(id, worker)).collect();
-        fleet.tell(Input::Workers(views));
+        fleet.handle_input(Input::Workers(views));
         fleet
     }
 
-    fn tell(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let mut outputs = self.planner.handle(self.now, input);
         while !outputs.is_empty() {
-            let answers: Vec<Input> = outputs.drain(..).filter_map(|output| self.carry_out(output)).collect();
+            let answers: Vec<Input> =
+                outputs.drain(..).filter_map(|output| self.handle_output(output)).collect();
             outputs = answers.into_iter().flat_map(|input| self.planner.handle(self.now, input)).collect();
         }
     }
 
-    fn carry_out(&mut self, output: Output) -> Option<Input> {
+    fn handle_output(&mut self, output: Output) -> Option<Input> {
         match output {
             Output::Order { order, worker, operation, model, adapter, .. } => {
-                let taken = self.workers.get_mut(&worker).unwrap();
-                taken.sequence += 1;
+                let receiver = self.workers.get_mut(&worker).unwrap();
+                receiver.sequence += 1;
                 if adapter.is_none() {
-                    let takes_ms = if operation == Operation::Load { LOAD_MS } else { 0 };
-                    taken.under_way = Some((self.now + takes_ms, operation, model.clone()));
+                    let duration_ms = if operation == Operation::Load { LOAD_MS } else { 0 };
+                    receiver.in_progress = Some((self.now + duration_ms, operation, model.clone()));
                     if operation == Operation::Load {
                         self.loads.push((self.now, model));
                     }
@@ -88,14 +90,15 @@
 
     fn report(&mut self, id: WorkerId) -> Input {
         let worker = self.workers.get_mut(&id).unwrap();
-        if let Some((_, operation, model)) = worker.under_way.take_if(|(done_at, _, _)| *done_at <= self.now)
+        if let Some((_, operation, model)) =
+            worker.in_progress.take_if(|(done_at, _, _)| *done_at <= self.now)
         {
             match operation {
                 Operation::Load => worker.models.push(resident(&model)),
                 Operation::Unload => worker.models.retain(|held| held.name != model),
             }
         }
-        let (busy, sequence) = (worker.under_way.is_some(), worker.sequence);
+        let (busy, sequence) = (worker.in_progress.is_some(), worker.sequence);
         Input::Report { worker: id, busy, sequence, models: worker.models.clone() }
     }
 
@@ -104,13 +107,13 @@
         while self.now < end {
             self.now += TICK_MS;
             each_tick(self);
-            self.tell(Input::Tick);
+            self.handle_input(Input::Tick);
         }
     }
 
     fn demand(&mut self, model: &str, requests_per_s: f64, outstanding: u32) {
-        if self.now.is_multiple_of(TELL_MS) {
-            self.tell(Input::Demand {
+        if self.now.is_multiple_of(DEMAND_INTERVAL_MS) {
+            self.handle_input(Input::Demand {
                 model: model.to_owned(),
                 adapter: None,
                 requests_per_s,
@@ -123,7 +126,12 @@
 
     fn missing(&mut self, model: &str, adapter: Option<&str>) {
         let adapter = adapter.map(str::to_owned);
-        self.tell(Input::Missing { model: model.to_owned(), adapter, waiting: 1, latency_target_ms: 6_000 });
+        self.handle_input(Input::Missing {
+            model: model.to_owned(),
+            adapter,
+            waiting: 1,
+            latency_target_ms: 6_000,
+        });
     }
 
     fn loads_of(&self, model: &str) -> usize {
@@ -131,7 +139,7 @@
     }
 }
 
-fn view(id: &WorkerId, worker: &Obedient) -> WorkerView {
+fn view(id: &WorkerId, worker: &SimulatedWorker) -> WorkerView {
     WorkerView {
         id: id.clone(),
         address: format!("{id}:80"),
@@ -142,14 +150,14 @@
     }
 }
 
-/// Forty workers, the busy model on one of them; the store allows one load a second.
-fn crowded_fleet() -> Fleet {
+/// Forty workers, one of which holds the busy model; the store allows one load a second.
+fn overloaded_fleet() -> Fleet {
     let held = |index: usize| if index == 0 { vec![resident("busy")] } else { Vec::new() };
     Fleet::new(1.0, (0..WORKERS).map(|index| (format!("w{index:02}"), held(index))).collect())
 }
 
-/// The busy model stays crowded throughout, and the rare ones are asked for from some time on.
-fn crowd_and_rare(fleet: &mut Fleet, for_ms: u64, rare: &[&str]) {
+/// Keeps the busy model overloaded while the given other models are reported missing.
+fn run_with_overload(fleet: &mut Fleet, for_ms: u64, rare: &[&str]) {
     fleet.run(for_ms, |fleet| {
         fleet.demand("busy", 1_000.0, 1_000);
         for model in rare {
@@ -159,48 +167,48 @@
 }
 
 #[gtest]
-fn a_missing_model_gets_its_load_after_two_loads_of_copies_at_the_latest() {
-    let mut fleet = crowded_fleet();
-    crowd_and_rare(&mut fleet, 5_000, &[]);
+fn a_missing_model_is_loaded_after_at_most_two_replica_loads() {
+    let mut fleet = overloaded_fleet();
+    run_with_overload(&mut fleet, 5_000, &[]);
     expect_that!(fleet.loads_of("busy"), ge(3), "{:?}", fleet.loads);
-    let asked_at = fleet.now;
-    crowd_and_rare(&mut fleet, 30_000, &RARE);
+    let reported_at = fleet.now;
+    run_with_overload(&mut fleet, 30_000, &RARE);
     let overdue =
-        fleet.loads.iter().filter(|(at, _)| *at > asked_at + 1_000).map(|(_, model)| model.as_str());
-    let mut copies = 0;
-    let mut left =
-        RARE.len() - fleet.loads.iter().filter(|(at, m)| *at <= asked_at + 1_000 && m != "busy").count();
+        fleet.loads.iter().filter(|(at, _)| *at > reported_at + 1_000).map(|(_, model)| model.as_str());
+    let mut replica_loads = 0;
+    let mut remaining =
+        RARE.len() - fleet.loads.iter().filter(|(at, m)| *at <= reported_at + 1_000 && m != "busy").count();
     for model in overdue {
-        copies = if model == "busy" { copies + 1 } else { 0 };
-        left -= usize::from(model != "busy");
-        expect_that!(copies <= 2 || left == 0, eq(true), "{:?}", fleet.loads);
+        replica_loads = if model == "busy" { replica_loads + 1 } else { 0 };
+        remaining -= usize::from(model != "busy");
+        expect_that!(replica_loads <= 2 || remaining == 0, eq(true), "{:?}", fleet.loads);
     }
-    expect_that!(left, eq(0), "{:?}", fleet.loads);
+    expect_that!(remaining, eq(0), "{:?}", fleet.loads);
     for model in RARE {
         expect_that!(fleet.loads_of(model), eq(1), "{model}: {:?}", fleet.loads);
     }
 }
 
 #[gtest]
-fn copies_of_crowded_models_keep_most_of_the_store_while_models_are_missing() {
-    let mut fleet = crowded_fleet();
-    crowd_and_rare(&mut fleet, 5_000, &[]);
+fn replicas_of_overloaded_models_get_most_of_the_store_rate_while_models_are_missing() {
+    let mut fleet = overloaded_fleet();
+    run_with_overload(&mut fleet, 5_000, &[]);
     let before = fleet.loads.len();
-    crowd_and_rare(&mut fleet, 12_000, &RARE);
-    let (mut copies, mut missing) = (0, 0);
+    run_with_overload(&mut fleet, 12_000, &RARE);
+    let (mut replica_loads, mut missing) = (0, 0);
     for (_, model) in &fleet.loads[before..] {
         if model == "busy" {
-            copies += 1;
+            replica_loads += 1;
         } else {
             missing += 1;
         }
     }
     expect_that!(missing, ge(3), "{:?}", fleet.loads);
-    expect_that!(copies, ge(2 * missing - 2), "{:?}", fleet.loads);
+    expect_that!(replica_loads, ge(2 * missing - 2), "{:?}", fleet.loads);
 }
 
 #[gtest]
-fn a_model_busy_moments_ago_stays_for_a_lone_request_and_goes_for_one_that_has_waited_long() {
+fn a_recently_busy_model_is_evicted_only_for_a_request_that_has_waited_long() {
     let mut fleet = Fleet::new(4.0, vec![("w".to_owned(), vec![resident("left"), resident("right")])]);
     fleet.run(10_000, |fleet| {
         fleet.demand("left", 8.0, 4);
@@ -209,14 +217,15 @@
     fleet.run(4_000, |_| ());
     expect_that!(fleet.loads, is_empty());
     fleet.run(2_000, |fleet| fleet.missing("r0", None));
-    expect_that!(fleet.loads, is_empty(), "the room was not worth it");
+    expect_that!(fleet.loads, is_empty(), "the eviction costs more than one request justifies");
     fleet.run(25_000, |fleet| fleet.missing("r0", None));
     expect_that!(fleet.loads_of("r0"), eq(1), "{:?}", fleet.loads);
 }
 
-/// Where a missing model took such a copy, the planner loaded it again at once, and the two gave way in turn.
+/// When a missing model evicted such a replica, the planner loaded the replica again at once, and the two models
+/// evicted each other in turn.
 #[gtest]
-fn a_lone_request_takes_no_copy_whose_loss_fills_the_others_beyond_the_wanted_load() {
+fn a_single_request_evicts_no_replica_whose_loss_raises_the_others_above_target_occupancy() {
     let holder = |id: &str, other: &str| (id.to_owned(), vec![resident("r5"), resident(other)]);
     let mut fleet = Fleet::new(4.0, vec![holder("w1", "left"), holder("w2", "right")]);
     let in_use = |fleet: &mut Fleet, running: u32| {
@@ -229,7 +238,11 @@
         in_use(fleet, 12);
         fleet.missing("r0", None);
     });
-    expect_that!(fleet.loads, is_empty(), "12 of 32 slots at one copy are more than a quarter");
+    expect_that!(
+        fleet.loads,
+        is_empty(),
+        "12 of 32 slots on one replica exceed the target occupancy of a quarter"
+    );
     fleet.run(8_000, |fleet| {
         in_use(fleet, 6);
         fleet.missing("r0", None);
@@ -238,7 +251,7 @@
 }
 
 #[gtest]
-fn a_model_asked_for_later_does_not_overtake_one_that_waits_for_a_worker() {
+fn a_model_requested_later_does_not_overtake_one_that_waits_for_a_worker() {
     let mut fleet = Fleet::new(4.0, vec![("w".to_owned(), vec![resident("busy"), resident("spare")])]);
     fleet.missing("r0", None);
     fleet.run(1_000, |fleet| fleet.missing("r1", None));
@@ -248,13 +261,13 @@
         fleet.missing("r2", None);
         fleet.now += TICK_MS / 2;
         fleet.missing("r1", None);
-        fleet.tell(Input::Tick);
+        fleet.handle_input(Input::Tick);
     }
     expect_that!(fleet.loads[1].1, eq("r1"), "{:?}", fleet.loads);
 }
 
 #[gtest]
-fn a_worker_whose_adapters_change_all_the_time_takes_model_loads_too() {
+fn a_worker_with_constant_adapter_changes_also_gets_model_loads() {
     let mut fleet = Fleet::new(4.0, vec![("w".to_owned(), vec![resident("busy")])]);
     let mut next = 0;
     fleet.run(2_000, |fleet| {
