--- a/src/lib.rs
+++ b/src/lib.rs
@@ -66,11 +66,11 @@
 //! ```
 
 pub mod agent;
-mod brain;
 pub mod control_plane;
 pub mod core;
 pub mod data_plane;
 pub mod data_plane_feed;
+mod decision_engine;
 pub mod interface;
 pub mod memory;
 pub mod net;
@@ -79,4 +79,4 @@
 pub mod site_settings;
 pub mod system;
 
-pub use brain::Brain;
+pub use decision_engine::Brain;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -80,7 +80,7 @@
 
 #[test]
 fn the_module_stays_within_its_size() {
-    let text = include_str!("../src/brain.rs");
+    let text = include_str!("../src/decision_engine.rs");
     assert!(text.lines().filter(|l| !l.trim().is_empty()).count() <= 1010);
     assert!(text.lines().all(|l| l.chars().count() <= 110));
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -9,7 +9,7 @@
 /// Widest line, in characters, so that lines are not joined to save some.
 const WIDEST: usize = 110;
 /// What of the module takes no decision.
-const NOT_DECIDING: &str = "src/brain/standing.rs";
+const NOT_DECIDING: &str = "src/decision_engine/standing.rs";
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -29,10 +29,10 @@
 
 /// The files under a folder of the decision module.
 fn module_files() -> BTreeSet<String> {
-    let entries = std::fs::read_dir(root().join("src/brain")).expect("the module's folder");
+    let entries = std::fs::read_dir(root().join("src/decision_engine")).expect("the module's folder");
     let paths = entries.map(|entry| entry.expect("an entry").path());
     let name = |path: PathBuf| path.strip_prefix(root()).expect("inside").to_string_lossy().into_owned();
-    paths.map(name).chain(["src/brain.rs".to_owned()]).collect()
+    paths.map(name).chain(["src/decision_engine.rs".to_owned()]).collect()
 }
 
 #[gtest]
@@ -66,5 +66,5 @@
 fn the_shared_price_is_a_decision_and_its_crate_is_named() {
     expect_that!(named("policy"), contains(eq("crates/admission/src/price.rs")));
     expect_that!(named("node"), contains(eq("crates/admission")));
-    expect_that!(read("src/brain/price.rs"), contains_substring("switchhill_admission::price"));
+    expect_that!(read("src/decision_engine/price.rs"), contains_substring("switchhill_admission::price"));
 }
