--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -1,7 +1,7 @@
 //! What one process leaves to the next: cordons, the list, and what the module has learnt.
 
 use super::{BackendId, Core, Millis};
-use crate::decision_engine::standing::Learnt;
+use crate::decision_engine::snapshot::Learnt;
 use crate::interface::{Backend, BackendState};
 use crate::settings::positions;
 use serde::{Deserialize, Serialize};
--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -6,7 +6,7 @@
 mod price;
 mod servers;
 mod slice;
-pub mod standing;
+pub mod snapshot;
 mod timers;
 
 use crate::interface::*;
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -9,7 +9,7 @@
 /// Widest line, in characters, so that lines are not joined to save some.
 const WIDEST: usize = 110;
 /// What of the module takes no decision.
-const NOT_DECIDING: &str = "src/decision_engine/standing.rs";
+const NOT_DECIDING: &str = "src/decision_engine/snapshot.rs";
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
