--- a/src/bin/switchhill-simhost/main.rs
+++ b/src/bin/switchhill-simhost/main.rs
@@ -1,7 +1,7 @@
 //! Speaks the simulator's wire on standard input and output for many gateways at once.
 //!
-//! Nothing is decided here: each message is translated to an event of its instance's brain, and the
-//! brain's actions are translated back.
+//! Nothing is decided here: each message is translated to an event of its instance's decision engine, and the
+//! engine's actions are translated back.
 
 #![allow(missing_docs)]
 
@@ -11,10 +11,10 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 use switchhill::interface::Action;
-use switchhill::Brain;
+use switchhill::DecisionEngine;
 
 struct Instance {
-    brain: Brain,
+    engine: DecisionEngine,
     bounds: wire::Bounds,
 }
 
@@ -57,8 +57,8 @@
                 let told: wire::NewInstance = wire::read(line)?;
                 let settings = told.settings()?;
                 let bounds = wire::Bounds { classes: settings.classes.len(), plans: settings.plans.len() };
-                let brain = Brain::new(settings, told.random_seed).map_err(|e| e.to_string())?;
-                self.instances.insert(i, Some(Instance { brain, bounds }));
+                let engine = DecisionEngine::new(settings, told.random_seed).map_err(|e| e.to_string())?;
+                self.instances.insert(i, Some(Instance { engine, bounds }));
             }
             "kill" => match self.instances.get_mut(&i) {
                 Some(instance) => *instance = None,
@@ -67,7 +67,7 @@
             kind => match self.instances.get_mut(&i) {
                 Some(Some(instance)) => {
                     if let Some(event) = wire::event(kind, line, instance.bounds)? {
-                        instance.brain.handle(now, event, &mut self.actions);
+                        instance.engine.handle(now, event, &mut self.actions);
                     }
                     for action in self.actions.drain(..) {
                         self.reply.push_str(&wire::action(i, &action)?);
--- a/src/core/hosts.rs
+++ b/src/core/hosts.rs
@@ -86,7 +86,7 @@
     /// module's choice.
     #[must_use]
     pub fn hosts_listed_and_down(&self) -> (usize, usize) {
-        let down = |id: &&BackendId| self.cordons.contains_key(*id) || self.brain.avoids(id);
+        let down = |id: &&BackendId| self.cordons.contains_key(*id) || self.engine.is_ejected(id);
         (self.hosts.len(), self.hosts.keys().filter(down).count())
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -19,7 +19,7 @@
 };
 use crate::memory::counters::Counters;
 use crate::memory::figures::Figures;
-use crate::Brain;
+use crate::DecisionEngine;
 pub use messages::{Command, End, Input, Terms};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use streams::{Stream, Upstream, USAGE_STANDS};
@@ -40,7 +40,7 @@
 /// A gateway's streams and the module that decides on them.
 #[derive(Debug)]
 pub struct Core {
-    brain: Brain,
+    engine: DecisionEngine,
     /// Those of the settings, then those that open streams came under and the settings dropped or changed.
     classes: Vec<Class>,
     /// How many of them the settings name.
@@ -85,7 +85,7 @@
             max_attempts: settings.limits.max_attempts,
             meter_period: settings.meter_period,
             warm_up: settings.rules.warm_up,
-            brain: Brain::new(settings, seed)?,
+            engine: DecisionEngine::new(settings, seed)?,
             now: 0.0,
             streams: HashMap::new(),
             upstream: HashMap::new(),
@@ -121,7 +121,7 @@
         let rates = settings.plans.iter().map(|plan| plan.rate).collect();
         let (max_attempts, meter_period) = (settings.limits.max_attempts, settings.meter_period);
         let warm_up = settings.rules.warm_up;
-        let places = self.brain.retune(settings, classes, plans, &held)?;
+        let places = self.engine.reconfigure(settings, classes, plans, &held)?;
         let mut all = named;
         self.named = all.len();
         for (old, place) in std::mem::take(&mut self.classes).into_iter().zip(&places) {
@@ -151,9 +151,9 @@
     #[must_use]
     pub fn next_due(&mut self) -> Option<Millis> {
         // Most timers are for streams that ended long before; waking up for each costs more than the stream.
-        let Self { timers, brain, upstream, streams, .. } = self;
+        let Self { timers, engine, upstream, streams, .. } = self;
         timers.next_that(|due| match due {
-            Due::Module(tag) => brain.wants(*tag),
+            Due::Module(tag) => engine.timer_is_live(*tag),
             Due::Upstream(id) => upstream.contains_key(id),
             Due::Stream(id) => streams.contains_key(id),
         })
@@ -236,7 +236,7 @@
     fn settle(&mut self, commands: &mut Vec<Command>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.brain.handle(self.now, event, &mut actions);
+            self.engine.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
                 self.act(action, commands);
             }
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -1,7 +1,7 @@
 //! What one process leaves to the next: cordons, the list, and what the module has learnt.
 
 use super::{BackendId, Core, Millis};
-use crate::decision_engine::snapshot::Learnt;
+use crate::decision_engine::snapshot::EngineSnapshot;
 use crate::interface::{Backend, BackendState};
 use crate::settings::positions;
 use serde::{Deserialize, Serialize};
@@ -60,7 +60,7 @@
     classes: Vec<String>,
     plans: Vec<String>,
     cordons: Vec<(String, Millis)>,
-    learnt: Learnt,
+    learnt: EngineSnapshot,
 }
 
 impl State {
@@ -89,7 +89,7 @@
             classes,
             plans,
             cordons: self.cordons.iter().map(|(id, since)| (id.to_string(), *since)).collect(),
-            learnt: self.brain.learnt(MOST_CUSTOMERS),
+            learnt: self.engine.snapshot(MOST_CUSTOMERS),
             ..State::default()
         }
     }
@@ -113,6 +113,10 @@
             self.cordons.entry(id.clone()).or_insert(since);
             self.events_called.push(id);
         }
-        self.brain.learn(state.learnt, &positions(&state.classes, classes), &positions(&state.plans, plans));
+        self.engine.restore(
+            state.learnt,
+            &positions(&state.classes, classes),
+            &positions(&state.plans, plans),
+        );
     }
 }
--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -1,5 +1,5 @@
 //! Every decision of the gateway: its state here, the parts that act on it in `src/brain/`. Types, events and
-//! actions are in `src/interface.rs`. A [`Brain`] has no I/O and no clock: [`Brain::handle`] takes the time.
+//! actions are in `src/interface.rs`. A [`DecisionEngine`] has no I/O and no clock: [`DecisionEngine::handle`] takes the time.
 
 mod arrival;
 mod attempts;
@@ -122,7 +122,7 @@
 
 /// One gateway's decisions.
 #[derive(Debug)]
-pub struct Brain {
+pub struct DecisionEngine {
     set: Settings,
     rng: fastrand::Rng,
     now: Millis,
@@ -155,7 +155,7 @@
     told_at: Millis,
 }
 
-impl Brain {
+impl DecisionEngine {
     /// Builds a gateway's decisions from its settings; equal seeds and events give equal actions.
     ///
     /// # Errors
--- a/src/decision_engine/arrival.rs
+++ b/src/decision_engine/arrival.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Brain {
+impl DecisionEngine {
     pub(super) fn request(&mut self, request: &Request, act: &mut Vec<Action>) {
         let Request { id, class, units, budget, coming, .. } = *request;
         let known = class < self.classes.len() && request.plan < self.set.plans.len();
--- a/src/decision_engine/attempts.rs
+++ b/src/decision_engine/attempts.rs
@@ -5,7 +5,7 @@
 /// A race pays where the wait, as a share of the aim, is above this many times the price of one probe.
 const RACE: f64 = 4.0;
 
-impl Brain {
+impl DecisionEngine {
     /// Sends a first attempt; where it would wait long, to that one of two which answers a probe first.
     pub(super) fn race(&mut self, id: RequestId, first: usize, act: &mut Vec<Action>) {
         // Danger: with little out of its own, a gateway cannot tell busy backends from idle ones; probes can.
--- a/src/decision_engine/price.rs
+++ b/src/decision_engine/price.rs
@@ -8,7 +8,7 @@
 /// How many price intervals the lowest latency is looked for in.
 const RECENT: usize = 60;
 
-impl Brain {
+impl DecisionEngine {
     /// Steps 1 to 3: what was let through and how long it waited, the price of that, smoothed.
     pub(super) fn reprice(&mut self) {
         let seconds = (self.now - self.priced_at) / 1000.0;
--- a/src/decision_engine/servers.rs
+++ b/src/decision_engine/servers.rs
@@ -17,7 +17,7 @@
 /// Faults in a row after which a backend is left alone.
 const FAULTS: u32 = 3;
 
-impl Brain {
+impl DecisionEngine {
     /// Share of its full work that a backend can surely do, from its start on.
     pub(super) fn warmth(&self, server: &Server) -> f64 {
         let rules = &self.set.rules;
--- a/src/decision_engine/slice.rs
+++ b/src/decision_engine/slice.rs
@@ -13,7 +13,7 @@
 /// Requests that tell a customer's own rate here; fewer are looked for further back.
 const COUNT: f64 = 6.0;
 
-impl Brain {
+impl DecisionEngine {
     /// The customer's state, brought up to now.
     pub(super) fn customer(&mut self, request: &Request) -> &mut Customer {
         let plan = &self.set.plans[request.plan];
--- a/src/decision_engine/snapshot.rs
+++ b/src/decision_engine/snapshot.rs
@@ -1,6 +1,6 @@
 //! What others may read of the module's state, and what outlives a process. No decision is taken here.
 
-use super::{Brain, ClassState, Customer};
+use super::{ClassState, Customer, DecisionEngine};
 use crate::interface::{Millis, Settings, SettingsError};
 use serde::{Deserialize, Serialize};
 use switchhill_recovery::Use;
@@ -8,7 +8,7 @@
 /// What a brain has learnt, for one that goes on in its place. Classes and plans stand in the order of the
 /// settings it was learnt under; times are those of the clock that both are told.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct Learnt {
+pub struct EngineSnapshot {
     started: Option<Millis>,
     classes: Vec<ClassState>,
     within: Vec<f64>,
@@ -33,7 +33,7 @@
     rest_until: Millis,
 }
 
-impl Learnt {
+impl EngineSnapshot {
     /// Leaves of it what may be used; what is left may be the stricter for it, never the looser.
     pub fn keep(&mut self, slices: Use, prices: Use, evidence: Use) {
         match slices {
@@ -62,7 +62,7 @@
     }
 }
 
-impl Brain {
+impl DecisionEngine {
     /// Goes on under other settings. `classes` and `plans` tell, for each of the present settings', its position in
     /// the new ones under its name. `held` marks classes that must stay for others' sake. What open requests came
     /// under, and the new settings drop or change, stands behind the new ones until they are over.
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// Names the first setting that no gateway could work with; then nothing has changed.
-    pub fn retune(
+    pub fn reconfigure(
         &mut self,
         mut set: Settings,
         classes: &[Option<usize>],
@@ -112,13 +112,13 @@
 
     /// Whether it gives a backend single tries at the most, since its attempts came to nothing.
     #[must_use]
-    pub fn avoids(&self, backend: &str) -> bool {
+    pub fn is_ejected(&self, backend: &str) -> bool {
         self.by_id.get(backend).is_some_and(|&index| self.servers[index].doubted())
     }
 
     /// What it has learnt; of the customers, the `most` that were seen last.
     #[must_use]
-    pub fn learnt(&self, most: usize) -> Learnt {
+    pub fn snapshot(&self, most: usize) -> EngineSnapshot {
         let mut customers: Vec<(u64, Customer)> = self
             .customers
             .iter()
@@ -141,7 +141,7 @@
                 rest_until: server.rest_until,
             }
         };
-        Learnt {
+        EngineSnapshot {
             started: self.started,
             classes: self.classes.clone(),
             within: self.within.clone(),
@@ -157,7 +157,7 @@
 
     /// Goes on from what another has learnt. `classes` and `plans` tell, for each of that one's, its position in
     /// the settings here. What is known here already of hosts that have started since stays.
-    pub fn learn(&mut self, learnt: Learnt, classes: &[Option<usize>], plans: &[Option<usize>]) {
+    pub fn restore(&mut self, learnt: EngineSnapshot, classes: &[Option<usize>], plans: &[Option<usize>]) {
         self.started = [self.started, learnt.started].into_iter().flatten().reduce(f64::min);
         let priced = !learnt.classes.is_empty();
         for (state, here) in learnt.classes.into_iter().zip(classes) {
--- a/src/decision_engine/timers.rs
+++ b/src/decision_engine/timers.rs
@@ -12,7 +12,7 @@
 const FORGET: Millis = 60_000.0;
 const FORGET_ONCE: Millis = 10_000.0;
 
-impl Brain {
+impl DecisionEngine {
     pub(super) fn remind(&mut self, due: Due, delay: Millis, act: &mut Vec<Action>) {
         self.next_tag += 1;
         self.timers.insert(self.next_tag, due);
@@ -20,7 +20,7 @@
     }
 
     /// Whether a timer still matters. One whose request is over is forgotten, so nobody need wake up for it.
-    pub fn wants(&mut self, tag: u64) -> bool {
+    pub fn timer_is_live(&mut self, tag: u64) -> bool {
         let wanted = match self.timers.get(&tag) {
             Some(Due::Check(id) | Due::Deadline(id)) => self.open.contains_key(id),
             due => due.is_some(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
 //! A quota-keeping gateway: its decisions as a sans-I/O state machine, and the program around them.
 //!
-//! The decisions: a [`Brain`] is built from [`interface::Settings`] and a seed. It is then told what happens, with
+//! The decisions: a [`DecisionEngine`] is built from [`interface::Settings`] and a seed. It is then told what happens, with
 //! the time, and appends what is to be done. It reads no clock, opens no socket and keeps no globals.
 //!
 //! ```
 //! use switchhill::interface::*;
-//! use switchhill::Brain;
+//! use switchhill::DecisionEngine;
 //!
 //! let settings = Settings {
 //!     gateways: 2,
@@ -38,7 +38,7 @@
 //!     most_units: 1.0,
 //!     must_subscribe: false,
 //! };
-//! let mut brain = Brain::new(settings, 7)?;
+//! let mut engine = DecisionEngine::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //! let backend = Backend {
 //!     id: "10.0.0.1:80".into(),
@@ -48,7 +48,7 @@
 //!     rating: 1.0,
 //!     born: 0.0,
 //! };
-//! brain.handle(0.0, Event::List { kind: ListKind::Full, backends: vec![backend] }, &mut actions);
+//! engine.handle(0.0, Event::List { kind: ListKind::Full, backends: vec![backend] }, &mut actions);
 //! let request = Request {
 //!     id: RequestId(1),
 //!     class: 0,
@@ -60,7 +60,7 @@
 //!     is_retry: false,
 //!     coming: false,
 //! };
-//! brain.handle(1.0, Event::Request(request), &mut actions);
+//! engine.handle(1.0, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Attempt { request: RequestId(1), .. })));
 //! # Ok::<(), SettingsError>(())
 //! ```
@@ -79,4 +79,4 @@
 pub mod site_settings;
 pub mod system;
 
-pub use decision_engine::Brain;
+pub use decision_engine::DecisionEngine;
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -184,7 +184,7 @@
     let field = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
-        switchhill::Brain::new(settings, 1).expect_err("unusable").field
+        switchhill::DecisionEngine::new(settings, 1).expect_err("unusable").field
     };
     assert_eq!(field(|s| s.gateways = 0), "gateways");
     assert_eq!(field(|s| s.plans[0].rate = -1.0), "plans[0].rate");
@@ -424,7 +424,7 @@
     let mut cold = 0;
     for seed in 0..300 {
         let mut driver = Driver::new(settings(), 0);
-        driver.brain = switchhill::Brain::new(settings(), seed).expect("usable settings");
+        driver.engine = switchhill::DecisionEngine::new(settings(), seed).expect("usable settings");
         driver.now = 100_000.0;
         let list = (1..=10).map(|n| Backend { born: if n == 1 { 99_999.0 } else { 0.0 }, ..backend(n) });
         driver.list(ListKind::Saved, list.collect());
@@ -574,16 +574,16 @@
         let old = |n: u32, state| Backend { id: id(n), state, ..backend(1) };
         driver.list(ListKind::Changes, vec![fresh, old(n - 2, BackendState::Gone)]);
     }
-    let text = format!("{:?}", driver.brain);
+    let text = format!("{:?}", driver.engine);
     assert!(!text.contains(&*id(100)) && text.contains(&*id(399)));
     // One that is gone with an attempt out is remembered until that has its outcome.
     let gone = Backend { id: held.as_str().into(), state: BackendState::Gone, ..backend(1) };
     driver.list(ListKind::Changes, vec![gone]);
-    assert!(format!("{:?}", driver.brain).contains(&held));
+    assert!(format!("{:?}", driver.engine).contains(&held));
     driver.outcome(1, 0, Code::Success);
     driver.list(ListKind::Changes, vec![]);
     driver.list(ListKind::Changes, (1000..1010).map(|n| Backend { id: id(n), ..backend(1) }).collect());
-    assert!(!format!("{:?}", driver.brain).contains(&held));
+    assert!(!format!("{:?}", driver.engine).contains(&held));
 }
 
 #[test]
@@ -650,7 +650,7 @@
     }
     assert!(rested(&driver));
     // All of them are warm for ever, as the list says.
-    assert_eq!(format!("{:?}", driver.brain).matches("ramp_from: -inf").count(), 4);
+    assert_eq!(format!("{:?}", driver.engine).matches("ramp_from: -inf").count(), 4);
 }
 
 #[test]
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Drives a brain by hand: keeps its timers, its actions and the clock.
+//! Drives a decision engine by hand: keeps its timers, its actions and the clock.
 #![allow(dead_code, missing_docs)]
 
 use switchhill::interface::*;
-use switchhill::Brain;
+use switchhill::DecisionEngine;
 
 pub fn class(effect: Effect) -> Class {
     Class { worth: 1.0, aim: 1000.0, late_value: 0.2, effect }
@@ -70,7 +70,7 @@
 }
 
 pub struct Driver {
-    pub brain: Brain,
+    pub engine: DecisionEngine,
     pub now: Millis,
     pub log: Vec<(Millis, Action)>,
     /// The load report that comes with every answer.
@@ -84,8 +84,8 @@
     }
 
     pub fn seeded(settings: Settings, backends: u32, seed: u64) -> Self {
-        let brain = Brain::new(settings, seed).expect("usable settings");
-        let mut driver = Self { brain, now: 0.0, log: Vec::new(), report: None, timers: Vec::new() };
+        let engine = DecisionEngine::new(settings, seed).expect("usable settings");
+        let mut driver = Self { engine, now: 0.0, log: Vec::new(), report: None, timers: Vec::new() };
         driver.list(ListKind::Saved, (1..=backends).map(backend).collect());
         driver
     }
@@ -93,7 +93,7 @@
     /// Hands one event over; returns what was done, timers apart.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.brain.handle(self.now, event, &mut actions);
+        self.engine.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::Timer { tag, delay } = action {
                 self.timers.push((self.now + delay, *tag));
