--- a/src/bin/switchhill-simhost/wire.rs
+++ b/src/bin/switchhill-simhost/wire.rs
@@ -66,9 +66,9 @@
         "overloaded" => Code::Overloaded,
         "timed_out" => Code::TimedOut,
         "unreachable" => Code::Unreachable,
-        "broken" => Code::Broken,
-        "withdrawn" => Code::Withdrawn,
-        "void" => Code::Void,
+        "broken" => Code::Reset,
+        "withdrawn" => Code::Cancelled,
+        "void" => Code::NotSent,
         _ => Code::Unknown,
     }
 }
@@ -195,7 +195,7 @@
                     state: match node.state.as_str() {
                         "Ready" => face::BackendState::Ready,
                         "Terminating" => face::BackendState::Draining,
-                        "Gone" => face::BackendState::Gone,
+                        "Gone" => face::BackendState::Removed,
                         _ => return Err(format!("field `nodesList[{n}].state`: unknown")),
                     },
                     rating: node.rating,
@@ -242,9 +242,9 @@
         }
         "begun" => {
             let told: Begun = read(line)?;
-            Event::Started { request: told.ticket, attempt: told.go }
+            Event::ResponseStarted { request: told.ticket, attempt: told.go }
         }
-        "lapsed" => Event::Lapsed(read::<Lapsed>(line)?.ticket),
+        "lapsed" => Event::ClientGone(read::<Lapsed>(line)?.ticket),
         "ring" => Event::Timer(read::<Ring>(line)?.tag),
         "probeDone" => {
             let told: ProbeDone = read(line)?;
@@ -336,7 +336,7 @@
         Action::Attempt { request, backend, timeout } => {
             Out::Attempt { i, ticket: hex(request), try_for_ms: *timeout, backend }
         }
-        Action::Stop { request, attempt } => Out::StopAttempt { i, ticket: hex(request), go: *attempt },
+        Action::Cancel { request, attempt } => Out::StopAttempt { i, ticket: hex(request), go: *attempt },
         Action::Refuse { request, hold_off, .. } => {
             Out::Refuse { i, ticket: hex(request), hold_off_ms: *hold_off }
         }
@@ -345,11 +345,11 @@
         Action::Probe(backend) => Out::Probe { i, backend },
         Action::Subscribe => Out::StreamChanges { i, on: true },
         Action::ReadList => Out::ReadList { i },
-        Action::Close(backend) => Out::Disconnect { i, backend },
-        Action::Count { name, amount, lives } => {
-            Out::Enter { i, name: *name, amount: *amount, lives_ms: *lives }
+        Action::CloseIdle(backend) => Out::Disconnect { i, backend },
+        Action::Count { name, amount, lifetime } => {
+            Out::Enter { i, name: *name, amount: *amount, lives_ms: *lifetime }
         }
-        Action::Tell { to, body } => Out::Signal { i, dst: *to, body: STANDARD.encode(body) },
+        Action::SendToPeer { to, body } => Out::Signal { i, dst: *to, body: STANDARD.encode(body) },
         Action::Trace(msg) => Out::Trace { i, msg },
     };
     serde_json::to_string(&out).map_err(|e| e.to_string())
--- a/src/core/hosts.rs
+++ b/src/core/hosts.rs
@@ -107,7 +107,7 @@
         let before: Vec<BackendId> =
             self.hosts.keys().filter(|host| self.may_send_to(host)).cloned().collect();
         if matches!(kind, ListKind::Full | ListKind::Saved) {
-            self.hosts.values_mut().for_each(|told| told.state = BackendState::Gone);
+            self.hosts.values_mut().for_each(|told| told.state = BackendState::Removed);
         }
         for backend in &backends {
             self.hosts.insert(backend.id.clone(), backend.clone());
@@ -115,7 +115,7 @@
         let left = before.into_iter().filter(|host| !self.may_send_to(host));
         commands.extend(left.map(Command::HostLeft));
         // Hosts are replaced under new ids all day long; what is kept of those gone would only grow.
-        let gone = |told: &Backend| told.state == BackendState::Gone;
+        let gone = |told: &Backend| told.state == BackendState::Removed;
         let ids = self.hosts.iter().filter(|(_, told)| gone(told)).map(|(host, _)| host.clone());
         commands.extend(ids.map(Command::HostGone));
         self.hosts.retain(|_, told| !gone(told));
@@ -145,7 +145,7 @@
     fn drop_held_by_left(&mut self, commands: &mut Vec<Command>) {
         let left: Vec<BackendId> = self.held.keys().filter(|host| !self.may_send_to(host)).cloned().collect();
         for host in left {
-            self.drop_held(&host, Code::Void, commands);
+            self.drop_held(&host, Code::NotSent, commands);
         }
     }
 
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,7 +1,7 @@
 //! What a front tells the core, and what it is told to do.
 
 use super::{StreamId, UpstreamId};
-use crate::interface::{Backend, BackendId, Code, ListKind, Millis, Why};
+use crate::interface::{Backend, BackendId, Code, ListKind, Millis, RefusalReason};
 
 /// What a downstream asks for.
 #[derive(Debug, Clone, PartialEq)]
@@ -85,7 +85,7 @@
     /// Answer the stream with what this upstream request brought.
     Deliver(UpstreamId),
     /// Local reply: not served, trying again after so long is harmless.
-    Refuse(StreamId, Millis, Why),
+    Refuse(StreamId, Millis, RefusalReason),
     /// Local reply: failed; true when time ran out.
     Fail(StreamId, bool),
     /// Probe an upstream host.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -177,14 +177,20 @@
                     if self.upstream.get(&id).is_some_and(|u| u.until <= self.now) {
                         let held = self.upstream.get(&id).is_some_and(|u| u.held);
                         commands.push(Command::Stop(id, !held));
-                        self.ended(id, if held { Code::Void } else { Code::TimedOut }, None, None, commands);
+                        self.ended(
+                            id,
+                            if held { Code::NotSent } else { Code::TimedOut },
+                            None,
+                            None,
+                            commands,
+                        );
                     }
                 }
                 // The module answers at the deadline; this stands in for it should it ever not.
                 Due::Stream(id) => {
                     if self.streams.get(&id).is_some_and(|stream| stream.deadline <= self.now) {
                         self.finish(id, Some(Command::Fail(id, true)), commands);
-                        self.events.push_back(Event::Lapsed(RequestId(id)));
+                        self.events.push_back(Event::ClientGone(RequestId(id)));
                     }
                 }
             }
@@ -199,7 +205,7 @@
             Input::DownstreamLeft(id) => {
                 if self.streams.contains_key(&id) {
                     self.finish(id, None, commands);
-                    self.events.push_back(Event::Lapsed(RequestId(id)));
+                    self.events.push_back(Event::ClientGone(RequestId(id)));
                 }
             }
             Input::UpstreamEnded { id, end, usage, report } => {
@@ -208,8 +214,8 @@
                     End::Error => Code::Failure,
                     End::TurnedAway => Code::Overloaded,
                     End::NotConnected => Code::Unreachable,
-                    End::Reset => Code::Broken,
-                    End::NeverSent => Code::Void,
+                    End::Reset => Code::Reset,
+                    End::NeverSent => Code::NotSent,
                 };
                 self.ended(id, code, usage, report, commands);
             }
--- a/src/core/streams.rs
+++ b/src/core/streams.rs
@@ -123,7 +123,7 @@
                 self.timers.push(until, Due::Upstream((id, n)));
             }
         }
-        self.events.push_back(Event::Whole { request: RequestId(id), budget });
+        self.events.push_back(Event::BodyComplete { request: RequestId(id), budget });
     }
 
     pub(super) fn act(&mut self, action: Action, commands: &mut Vec<Command>) {
@@ -131,23 +131,27 @@
             Action::Attempt { request, backend, timeout } => {
                 self.attempt(request.0, backend, timeout, commands)
             }
-            Action::Stop { request, attempt } => {
+            Action::Cancel { request, attempt } => {
                 let id = (request.0, attempt);
                 // To the module an attempt whose request is still coming in looks silent.
                 let coming = self.streams.get(&request.0).is_some_and(|stream| stream.coming.is_some());
                 if self.upstream.contains_key(&id) && !coming {
                     commands.push(Command::Stop(id, false));
-                    self.ended(id, Code::Withdrawn, None, None, commands);
+                    self.ended(id, Code::Cancelled, None, None, commands);
                 }
             }
-            Action::Refuse { request, hold_off, why } => {
+            Action::Refuse { request, hold_off, reason } => {
                 let Some(stream) = self.streams.get(&request.0) else { return };
                 let class = &self.classes[stream.class];
                 let command = if stream.ran && class.effect == Effect::Unsafe {
                     Command::Fail(request.0, stream.timed_out)
                 } else {
                     // The module leaves it open where clients are not known to heed it; a real one is told.
-                    Command::Refuse(request.0, if hold_off > 0.0 { hold_off } else { class.aim / 4.0 }, why)
+                    Command::Refuse(
+                        request.0,
+                        if hold_off > 0.0 { hold_off } else { class.aim / 4.0 },
+                        reason,
+                    )
                 };
                 self.finish(request.0, Some(command), commands);
             }
@@ -162,18 +166,19 @@
                     self.counters.probes += 1;
                     commands.push(Command::Probe(host));
                 } else {
-                    let told = Event::Probed { backend: host, code: Code::Void, elapsed: 0.0, report: None };
+                    let told =
+                        Event::Probed { backend: host, code: Code::NotSent, elapsed: 0.0, report: None };
                     self.events.push_back(told);
                 }
             }
             Action::Subscribe | Action::ReadList => commands.push(Command::ReadList),
-            Action::Close(host) => commands.push(Command::CloseIdle(host)),
+            Action::CloseIdle(host) => commands.push(Command::CloseIdle(host)),
             Action::Trace(line) => commands.push(Command::Log(line)),
             // The design has gateways share nothing on the ordinary path but the meter.
             Action::Count { name, .. } => {
                 self.events.push_back(Event::Counted { name, code: Code::Unreachable, reading: 0.0 });
             }
-            Action::Tell { .. } => {}
+            Action::SendToPeer { .. } => {}
         }
     }
 
@@ -195,7 +200,7 @@
         self.upstream
             .insert(key, Upstream { host: host.clone(), customer, sent: self.now, until, held: false });
         if !sound {
-            self.ended(key, Code::Void, None, None, commands);
+            self.ended(key, Code::NotSent, None, None, commands);
             return;
         }
         if key.1 == 0 && self.metered {
@@ -223,14 +228,14 @@
             Code::Overloaded => &mut counters.upstream_turned_away,
             Code::TimedOut => &mut counters.upstream_timed_out,
             Code::Unreachable => &mut counters.upstream_not_connected,
-            Code::Broken => &mut counters.upstream_reset,
-            Code::Withdrawn => &mut counters.upstream_stopped,
-            Code::Void => &mut counters.upstream_void,
+            Code::Reset => &mut counters.upstream_reset,
+            Code::Cancelled => &mut counters.upstream_stopped,
+            Code::NotSent => &mut counters.upstream_void,
             Code::Failure | Code::Unknown => &mut counters.upstream_errors,
         } += 1;
         if let Some(stream) = self.streams.get_mut(&id.0) {
             stream.out -= 1;
-            if !matches!(code, Code::Overloaded | Code::Unreachable | Code::Void) {
+            if !matches!(code, Code::Overloaded | Code::Unreachable | Code::NotSent) {
                 stream.ran = true;
                 stream.ran_at = Some(stream.ran_at.map_or(upstream.sent, |at| at.min(upstream.sent)));
             }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -183,7 +183,7 @@
 
 #[test]
 fn nothing_is_sent_to_a_host_that_was_told_draining_or_gone() {
-    for state in [BackendState::Draining, BackendState::Gone] {
+    for state in [BackendState::Draining, BackendState::Removed] {
         let mut bench = Bench::new(&["a"]);
         bench.tell(vec![Input::ListChanged(ListKind::Changes, hosts(&["a"], state))]);
         bench.tell(vec![Input::StreamArrived(1, terms(VIEW, 2000.0))]);
--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -209,12 +209,12 @@
         match event {
             Event::List { kind, backends } => self.list(kind, backends, act),
             Event::Request(request) => self.request(&request, act),
-            Event::Whole { request, budget } => self.whole(request, budget, act),
-            Event::Started { request, .. } => {
+            Event::BodyComplete { request, budget } => self.whole(request, budget, act),
+            Event::ResponseStarted { request, .. } => {
                 self.open.get_mut(&request).into_iter().for_each(|open| open.streaming = true);
             }
             Event::Outcome(outcome) => self.outcome(&outcome, act),
-            Event::Lapsed(id) => self.end(id, act),
+            Event::ClientGone(id) => self.end(id, act),
             Event::Timer(tag) => self.timer(tag, act),
             Event::Probed { backend, code, .. } => self.probed(&backend, code, act),
             Event::Counted { .. } | Event::Peer { .. } => {}
--- a/src/decision_engine/arrival.rs
+++ b/src/decision_engine/arrival.rs
@@ -8,7 +8,7 @@
         let known = class < self.classes.len() && request.plan < self.set.plans.len();
         let sound = units.is_finite() && units >= 0.0 && budget > 0.0;
         if !known || !sound || self.open.contains_key(&id) {
-            return act.push(Action::Refuse { request: id, hold_off: 0.0, why: Why::Bad });
+            return act.push(Action::Refuse { request: id, hold_off: 0.0, reason: RefusalReason::Invalid });
         }
         self.classes[class].asked += 1.0;
         let plan = self.set.plans[request.plan].clone();
@@ -38,18 +38,18 @@
         let value = worth * plan.price * told_worth;
         let choice = if under && value > 0.0 { self.choose(None, None) } else { None };
         let Some(server) = choice.filter(|&s| self.pays(class, value, self.expected(class, s))) else {
-            let (why, counted) = match choice {
-                _ if value <= 0.0 => (Why::Quota, 1),
-                _ if !under => (Why::Quota, 2),
-                None => (Why::NoBackend, 3),
-                Some(_) => (Why::Price, 4),
+            let (reason, counted) = match choice {
+                _ if value <= 0.0 => (RefusalReason::Quota, 1),
+                _ if !under => (RefusalReason::Quota, 2),
+                None => (RefusalReason::NoBackend, 3),
+                Some(_) => (RefusalReason::Price, 4),
             };
             self.tally[counted] += 1;
-            if why == Why::NoBackend && self.now - self.asked_list > 5000.0 {
+            if reason == RefusalReason::NoBackend && self.now - self.asked_list > 5000.0 {
                 self.asked_list = self.now;
                 act.extend([Action::ReadList, Action::Trace("no backend may be sent to".into())]);
             }
-            return act.push(Action::Refuse { request: id, hold_off: self.hold_off(class), why });
+            return act.push(Action::Refuse { request: id, hold_off: self.hold_off(class), reason });
         };
         self.tally[0] += 1;
         let customer = self.customer(request);
--- a/src/decision_engine/attempts.rs
+++ b/src/decision_engine/attempts.rs
@@ -88,8 +88,8 @@
         let age = elapsed - self.classes[out.class].floor;
         let wait = self.silent_wait(out.class, age, self.missing + 1.0);
         // A reset, or silence that outlasts all waiting, earns one more attempt; a jam earns none.
-        let silent = matches!(told.code, Code::TimedOut | Code::Withdrawn) && wait < age;
-        if told.code == Code::Broken || silent && self.set.limits.may_duplicate {
+        let silent = matches!(told.code, Code::TimedOut | Code::Cancelled) && wait < age;
+        if told.code == Code::Reset || silent && self.set.limits.may_duplicate {
             self.extra = (self.extra + 1.0).min(EXTRA_MOST);
         }
         if sound && self.stalled < self.now {
@@ -130,7 +130,7 @@
             }
             return self.end(told.request, act);
         }
-        let proven = matches!(told.code, Code::Overloaded | Code::Unreachable | Code::Void);
+        let proven = matches!(told.code, Code::Overloaded | Code::Unreachable | Code::NotSent);
         let server = &self.servers[out.server];
         if !proven && open.ran.is_none_or(|(sent, ..)| sent > out.sent) {
             open.ran = Some((out.sent, server.told.zone, server.told.cell));
@@ -184,7 +184,11 @@
         let Some(open) = self.open.get(&id) else { return };
         let harmless = open.ran.is_none() && open.out == 0;
         let refused = harmless || self.set.classes[open.class].effect == Effect::Safe;
-        let refusal = Action::Refuse { request: id, hold_off: self.hold_off(open.class), why: Why::Spent };
+        let refusal = Action::Refuse {
+            request: id,
+            hold_off: self.hold_off(open.class),
+            reason: RefusalReason::AttemptsExhausted,
+        };
         act.push(if refused { refusal } else { Action::Fail(id) });
         self.end(id, act);
     }
@@ -194,7 +198,7 @@
         self.races.retain(|race| race.0 != id);
         if self.open.remove(&id).is_some() && self.set.limits.may_stop {
             let out = self.out.range((id, 0)..=(id, u32::MAX));
-            act.extend(out.map(|(key, _)| Action::Stop { request: id, attempt: key.1 }));
+            act.extend(out.map(|(key, _)| Action::Cancel { request: id, attempt: key.1 }));
         }
     }
 
@@ -211,7 +215,7 @@
                     return;
                 }
             } else if self.set.limits.may_stop && self.extra >= 1.0 {
-                act.push(Action::Stop { request: id, attempt });
+                act.push(Action::Cancel { request: id, attempt });
             }
         }
         self.remind(Due::Check(id), self.set.classes[class].aim * CHECK_SHARE, act);
--- a/src/decision_engine/servers.rs
+++ b/src/decision_engine/servers.rs
@@ -135,7 +135,7 @@
                 }
             }
             Code::Overloaded => server.ratio = (server.ratio * 1.2).min(20.0),
-            Code::Failure | Code::TimedOut | Code::Unreachable | Code::Broken | Code::Unknown => {
+            Code::Failure | Code::TimedOut | Code::Unreachable | Code::Reset | Code::Unknown => {
                 // What is met seldom is judged from little evidence.
                 let clear = code == Code::Unreachable && server.evidence < SELDOM && server.faults < FAULTS;
                 server.faults = if clear { FAULTS } else { server.faults + u32::from(!overtaken) };
@@ -146,7 +146,7 @@
                     self.servers[index].ramp_from = self.servers[index].rest_until;
                 }
             }
-            Code::Withdrawn | Code::Void => {}
+            Code::Cancelled | Code::NotSent => {}
         }
     }
 
@@ -170,7 +170,7 @@
             return self.remind(Due::Subscribe, 1000.0, act);
         }
         if kind != ListKind::Changes {
-            self.servers.iter_mut().for_each(|s| s.told.state = BackendState::Gone);
+            self.servers.iter_mut().for_each(|s| s.told.state = BackendState::Removed);
         }
         let used: BTreeSet<usize> = self.by_id.values().copied().collect();
         let mut unused: Vec<usize> = (0..self.servers.len()).filter(|i| !used.contains(i)).collect();
@@ -196,7 +196,7 @@
         let (servers, races) = (&self.servers, &self.races);
         self.by_id.retain(|_, i| {
             let in_use = servers[*i].out > 0 || races.iter().any(|race| race.1.contains(i));
-            servers[*i].told.state != BackendState::Gone || in_use
+            servers[*i].told.state != BackendState::Removed || in_use
         });
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -10,9 +10,9 @@
 pub type BackendId = Arc<str>;
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum RefusalReason {
     /// It is none that the settings know, or there already.
-    Bad,
+    Invalid,
     /// Its customer's quota or ceiling leaves no room, and use beyond it earns nothing.
     Quota,
     /// No backend may be sent to.
@@ -20,7 +20,7 @@
     /// Its worth does not pay for what it would cost others.
     Price,
     /// Its attempts came to nothing, and trying again is harmless.
-    Spent,
+    AttemptsExhausted,
 }
 
 /// Identifies one try of a client; never used twice.
@@ -254,7 +254,7 @@
     /// Finishes what it has; nothing new may be sent.
     Draining,
     /// Withdrawn.
-    Gone,
+    Removed,
 }
 
 /// One entry of the list.
@@ -301,11 +301,11 @@
     /// No connection.
     Unreachable,
     /// The connection was lost while it was out.
-    Broken,
+    Reset,
     /// Called off.
-    Withdrawn,
+    Cancelled,
     /// Never sent.
-    Void,
+    NotSent,
     /// A code that this version does not know.
     Unknown,
 }
@@ -329,7 +329,7 @@
     pub units: f64,
     /// The client has asked before.
     pub is_retry: bool,
-    /// Its last byte has not come: time, and that of its attempts, counts from [`Event::Whole`].
+    /// Its last byte has not come: time, and that of its attempts, counts from [`Event::BodyComplete`].
     pub coming: bool,
 }
 
@@ -369,14 +369,14 @@
     /// A client's try has come in.
     Request(Request),
     /// The last byte of a request has come that came in while it was `coming`.
-    Whole {
+    BodyComplete {
         /// The request.
         request: RequestId,
         /// The client waits this long from now on.
         budget: Millis,
     },
     /// An attempt's answer has begun to stream; it belongs to the client now.
-    Started {
+    ResponseStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -385,7 +385,7 @@
     /// An attempt has ended.
     Outcome(Outcome),
     /// The client has left; no answer is owed any more.
-    Lapsed(RequestId),
+    ClientGone(RequestId),
     /// A timer is due.
     Timer(u64),
     /// A probe has ended.
@@ -430,7 +430,7 @@
         timeout: Millis,
     },
     /// Stop waiting for an attempt.
-    Stop {
+    Cancel {
         /// The request.
         request: RequestId,
         /// The attempt's number.
@@ -443,7 +443,7 @@
         /// The client had better wait this long; 0 says nothing.
         hold_off: Millis,
         /// Why.
-        why: Why,
+        reason: RefusalReason,
     },
     /// Final answer: failed, with no promise about its effect.
     Fail(RequestId),
@@ -461,7 +461,7 @@
     /// Ask discovery for the whole list.
     ReadList,
     /// Close idle connections to a backend.
-    Close(BackendId),
+    CloseIdle(BackendId),
     /// Add to a named count.
     Count {
         /// Its name.
@@ -469,10 +469,10 @@
         /// What to add.
         amount: f64,
         /// How long a new name lives.
-        lives: Millis,
+        lifetime: Millis,
     },
     /// Send bytes to one gateway, or to all.
-    Tell {
+    SendToPeer {
         /// The gateway's number; none for all.
         to: Option<u32>,
         /// The bytes.
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -4,7 +4,7 @@
 use super::streams::{refusal, SCARCE_HOLD_OFF};
 use super::{Downstream, Exchange, Gateway};
 use crate::core::{Input, StreamId, Terms};
-use crate::interface::{Millis, Why};
+use crate::interface::{Millis, RefusalReason};
 use crate::process::config;
 use crate::settings::Told;
 use std::collections::HashMap;
@@ -121,9 +121,17 @@
     }
 
     /// The decisions have refused a stream: it has ended, and where they wanted room, what its client is told.
-    pub(super) fn refused_behind(&mut self, now: Millis, stream: StreamId, why: Why) -> Option<Refusal> {
+    pub(super) fn refused_behind(
+        &mut self,
+        now: Millis,
+        stream: StreamId,
+        reason: RefusalReason,
+    ) -> Option<Refusal> {
         let known = self.known.get(&stream)?;
-        let pressed = matches!(why, Why::Price | Why::NoBackend | Why::Spent);
+        let pressed = matches!(
+            reason,
+            RefusalReason::Price | RefusalReason::NoBackend | RefusalReason::AttemptsExhausted
+        );
         let arrival = self.arrival(stream, &known.terms, known.whole_seconds);
         self.ended(now, stream, if pressed { Ended::Pressed } else { Ended::Otherwise });
         pressed.then(|| self.door.refused_behind(now, &arrival))
--- a/src/net/recovery.rs
+++ b/src/net/recovery.rs
@@ -2,7 +2,7 @@
 
 use super::Gateway;
 use crate::core::state::State;
-use crate::interface::{ListKind, Millis, Why};
+use crate::interface::{ListKind, Millis, RefusalReason};
 use crate::process::config::{Config, List};
 use crate::process::snapshot::{self, Stamp, Unusable};
 use crate::settings::shared_settings;
@@ -69,8 +69,11 @@
     }
 
     /// Something was turned away.
-    pub(super) fn turned_away(&mut self, now: Millis, why: Why) {
-        if matches!(why, Why::Price | Why::NoBackend | Why::Spent) {
+    pub(super) fn turned_away(&mut self, now: Millis, reason: RefusalReason) {
+        if matches!(
+            reason,
+            RefusalReason::Price | RefusalReason::NoBackend | RefusalReason::AttemptsExhausted
+        ) {
             self.pressed = Some(now);
         }
     }
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -201,7 +201,7 @@
             Some(Job::Probe(since)) => {
                 if !self.core.may_send_to(&up.host) {
                     up.job = None;
-                    self.probed(up.host.clone(), Code::Void, since);
+                    self.probed(up.host.clone(), Code::NotSent, since);
                     return self.rest(token, up);
                 }
                 let mut message =
@@ -337,8 +337,8 @@
                     End::TurnedAway => Code::Overloaded,
                     End::Error => Code::Failure,
                     End::NotConnected => Code::Unreachable,
-                    End::Reset => Code::Broken,
-                    End::NeverSent => Code::Void,
+                    End::Reset => Code::Reset,
+                    End::NeverSent => Code::NotSent,
                 };
                 self.probed(host.clone(), code, since);
             }
--- a/src/process/config.rs
+++ b/src/process/config.rs
@@ -74,7 +74,7 @@
             state: match phase.text()? {
                 "in_service" => BackendState::Ready,
                 "terminating" => BackendState::Draining,
-                "terminated" => BackendState::Gone,
+                "terminated" => BackendState::Removed,
                 _ => return Err(phase.bad("unknown")),
             },
             rating: from.at("size").number_or(1.0)?,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -334,7 +334,7 @@
     for id in 0..20 {
         let ask = Request { entry_points: 200, ..request(id) };
         let_in += u32::from(sent(&driver.request(ask)).is_some());
-        driver.outcome(id, 0, Code::Broken);
+        driver.outcome(id, 0, Code::Reset);
         let then = driver.now + 3_000.0;
         driver.advance(then);
     }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -11,9 +11,9 @@
     Code::Overloaded,
     Code::TimedOut,
     Code::Unreachable,
-    Code::Broken,
-    Code::Withdrawn,
-    Code::Void,
+    Code::Reset,
+    Code::Cancelled,
+    Code::NotSent,
     Code::Unknown,
 ];
 
@@ -26,7 +26,7 @@
 #[test]
 fn each_effect_after_each_code() {
     for code in CODES {
-        let proven = matches!(code, Code::Overloaded | Code::Unreachable | Code::Void);
+        let proven = matches!(code, Code::Overloaded | Code::Unreachable | Code::NotSent);
         let mut safe = Driver::new(with_effect(Effect::Safe), 6);
         safe.request(request(1));
         assert!(sent(&safe.outcome(1, 0, code)).is_some(), "safe after {code:?}");
@@ -48,7 +48,7 @@
             driver.advance(f64::from(n));
             let first = backend_number(sent(&driver.request(request(1))).expect("sent"));
             driver.advance(driver.now + 300.0);
-            let again = driver.outcome(1, 0, Code::Broken);
+            let again = driver.outcome(1, 0, Code::Reset);
             let again = backend_number(sent(&again).expect("within the window"));
             match scope {
                 KeyScope::All => {}
@@ -57,7 +57,7 @@
             }
             // The window runs from the first attempt that may have run, and a margin is kept.
             driver.advance(driver.now + 160.0);
-            let last = driver.outcome(1, 1, Code::Broken);
+            let last = driver.outcome(1, 1, Code::Reset);
             assert!(sent(&last).is_none() && failed(&last), "sent again at 460 of 500 ms");
         }
     }
@@ -76,11 +76,11 @@
         assert!(driver.outcome(1, 0, code).is_empty());
         assert!(driver.outcome(1, 5, code).is_empty());
     }
-    assert!(driver.event(Event::Lapsed(RequestId(1))).is_empty());
+    assert!(driver.event(Event::ClientGone(RequestId(1))).is_empty());
     assert!(driver.event(Event::Timer(u64::MAX)).is_empty());
     driver.request(request(2));
-    driver.event(Event::Lapsed(RequestId(2)));
-    assert!(driver.outcome(2, 0, Code::Broken).is_empty(), "sent after the client left");
+    driver.event(Event::ClientGone(RequestId(2)));
+    assert!(driver.outcome(2, 0, Code::Reset).is_empty(), "sent after the client left");
     let done = driver.advance(10_000.0);
     assert!(!failed(&done) && !refused(&done) && sent(&done).is_none(), "{done:?}");
 }
@@ -100,8 +100,8 @@
     driver.request(request(1));
     let done = driver.advance(1_900.0);
     assert!(sent(&done).is_none(), "a second copy beside the first");
-    assert!(done.iter().any(|a| matches!(a, Action::Stop { .. })), "silence is acted on");
-    assert!(sent(&driver.outcome(1, 0, Code::Withdrawn)).is_none(), "too late to be worth a copy");
+    assert!(done.iter().any(|a| matches!(a, Action::Cancel { .. })), "silence is acted on");
+    assert!(sent(&driver.outcome(1, 0, Code::Cancelled)).is_none(), "too late to be worth a copy");
 }
 
 #[test]
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_drain_stops_sends_at_once_and_further_attempts_too() {
-    for state in [BackendState::Draining, BackendState::Gone] {
+    for state in [BackendState::Draining, BackendState::Removed] {
         let mut driver = Driver::new(settings(), 2);
         driver.request(request(1));
         driver.list(ListKind::Changes, vec![Backend { state, ..backend(1) }]);
@@ -220,7 +220,7 @@
                 }
                 4 => {
                     let state =
-                        [BackendState::Ready, BackendState::Draining, BackendState::Gone][rng.usize(0..3)];
+                        [BackendState::Ready, BackendState::Draining, BackendState::Removed][rng.usize(0..3)];
                     let told = Backend { state, born: rng.f64() * driver.now, ..backend(rng.u32(1..9)) };
                     watch.states.insert(told.id.to_string(), state);
                     driver.list(ListKind::Changes, vec![told])
@@ -228,7 +228,7 @@
                 5 => {
                     let id = rng.u64(0..n + 1);
                     watch.open.remove(&id);
-                    driver.event(Event::Lapsed(RequestId(id)))
+                    driver.event(Event::ClientGone(RequestId(id)))
                 }
                 _ => {
                     let Some(&(id, attempt)) = watch.out.get(rng.usize(0..watch.out.len().max(1))) else {
@@ -267,7 +267,7 @@
         if code == Code::Success {
             self.open.remove(&id);
         } else if let Some((.., tries)) = self.open.get_mut(&id) {
-            let proven = matches!(code, Code::Overloaded | Code::Unreachable | Code::Void);
+            let proven = matches!(code, Code::Overloaded | Code::Unreachable | Code::NotSent);
             tries[attempt as usize].2 = !proven;
         }
     }
@@ -556,7 +556,7 @@
         }
         again
     };
-    assert_eq!(tries(Code::Broken), 50);
+    assert_eq!(tries(Code::Reset), 50);
     assert!((4..=8).contains(&tries(Code::Failure)));
 }
 
@@ -572,12 +572,12 @@
         driver.advance(driver.now + 100.0);
         let fresh = Backend { id: id(n), born: driver.now, ..backend(1) };
         let old = |n: u32, state| Backend { id: id(n), state, ..backend(1) };
-        driver.list(ListKind::Changes, vec![fresh, old(n - 2, BackendState::Gone)]);
+        driver.list(ListKind::Changes, vec![fresh, old(n - 2, BackendState::Removed)]);
     }
     let text = format!("{:?}", driver.engine);
     assert!(!text.contains(&*id(100)) && text.contains(&*id(399)));
     // One that is gone with an attempt out is remembered until that has its outcome.
-    let gone = Backend { id: held.as_str().into(), state: BackendState::Gone, ..backend(1) };
+    let gone = Backend { id: held.as_str().into(), state: BackendState::Removed, ..backend(1) };
     driver.list(ListKind::Changes, vec![gone]);
     assert!(format!("{:?}", driver.engine).contains(&held));
     driver.outcome(1, 0, Code::Success);
@@ -645,7 +645,7 @@
     let broken = backend(1).id;
     (1..=24).for_each(|id| drop(driver.request(request(id))));
     for (id, there) in sent_to(&driver) {
-        driver.outcome(id, 0, if there == broken { Code::Broken } else { Code::Success });
+        driver.outcome(id, 0, if there == broken { Code::Reset } else { Code::Success });
         driver.outcome(id, 1, Code::Success);
     }
     assert!(rested(&driver));
@@ -671,7 +671,7 @@
     driver.advance(driver.now + 60_000.0);
     let told = |action: &Action| matches!(action, Action::Trace(line) if line.contains("resting"));
     assert!(!driver.log.iter().any(|(_, action)| told(action) || matches!(action, Action::Fail(_))));
-    driver.event(Event::Whole { request: RequestId(100), budget: 2000.0 });
+    driver.event(Event::BodyComplete { request: RequestId(100), budget: 2000.0 });
     driver.advance(driver.now + 60.0);
     driver.outcome(100, 0, Code::Success);
     driver.advance(driver.now + 1000.0);
@@ -680,7 +680,7 @@
     // Without its answer it fails in the time that counts from the last byte.
     driver.request(Request { class: 1, coming: true, ..request(300) });
     driver.advance(driver.now + 10_000.0);
-    driver.event(Event::Whole { request: RequestId(300), budget: 2000.0 });
+    driver.event(Event::BodyComplete { request: RequestId(300), budget: 2000.0 });
     assert!(!failed(&driver.advance(driver.now + 1900.0)));
     assert!(failed(&driver.advance(driver.now + 200.0)));
 }
