--- a/src/bin/switchhill-simhost/wire.rs
+++ b/src/bin/switchhill-simhost/wire.rs
@@ -199,7 +199,7 @@
                         _ => return Err(format!("field `nodesList[{n}].state`: unknown")),
                     },
                     rating: node.rating,
-                    born: node.born_ms,
+                    started_at: node.born_ms,
                 })
             };
             let backends =
@@ -223,7 +223,7 @@
                 budget: told.budget_ms,
                 units: told.units,
                 is_retry: told.is_retry,
-                coming: false,
+                body_incomplete: false,
             })
         }
         "response" => {
--- a/src/core/hosts.rs
+++ b/src/core/hosts.rs
@@ -35,7 +35,7 @@
             let now = self.now;
             if let Some(told) = self.hosts.get_mut(&id) {
                 // It was taken out to be restarted: unless the list has told a start since, it starts now.
-                told.born = if told.born > since { told.born } else { now };
+                told.started_at = if told.started_at > since { told.started_at } else { now };
             }
             self.events_called.push(id);
         }
@@ -57,7 +57,7 @@
     /// Whether every upstream host that takes requests has been up for as long as the settings let it warm.
     #[must_use]
     pub fn none_is_cold(&self) -> bool {
-        let cold = |told: &Backend| told.born > 0.0 && self.now < told.born + self.warm_up;
+        let cold = |told: &Backend| told.started_at > 0.0 && self.now < told.started_at + self.warm_up;
         !self.hosts.values().any(|told| told.state == BackendState::Ready && cold(told))
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -84,7 +84,7 @@
             rates: settings.plans.iter().map(|plan| plan.rate).collect(),
             max_attempts: settings.limits.max_attempts,
             meter_period: settings.meter_period,
-            warm_up: settings.rules.warm_up,
+            warm_up: settings.cold_start.warm_up,
             engine: DecisionEngine::new(settings, seed)?,
             now: 0.0,
             streams: HashMap::new(),
@@ -120,7 +120,7 @@
         let named = settings.classes.clone();
         let rates = settings.plans.iter().map(|plan| plan.rate).collect();
         let (max_attempts, meter_period) = (settings.limits.max_attempts, settings.meter_period);
-        let warm_up = settings.rules.warm_up;
+        let warm_up = settings.cold_start.warm_up;
         let places = self.engine.reconfigure(settings, classes, plans, &held)?;
         let mut all = named;
         self.named = all.len();
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -43,7 +43,7 @@
             cell: self.cell,
             state: if self.ready { BackendState::Ready } else { BackendState::Draining },
             rating: self.rating,
-            born: self.born,
+            started_at: self.born,
         }
     }
 }
@@ -100,7 +100,7 @@
         let listed = |told: &Backend| {
             let (address, http2) = place(&told.id)?;
             let (id, ready) = (told.id.to_string(), told.state == BackendState::Ready);
-            let Backend { zone, cell, rating, born, .. } = *told;
+            let Backend { zone, cell, rating, started_at: born, .. } = *told;
             Some(Listed { id, address, http2, zone, cell, ready, rating, born })
         };
         self.hosts.values().filter_map(listed).collect()
--- a/src/core/streams.rs
+++ b/src/core/streams.rs
@@ -106,7 +106,7 @@
             budget,
             units: terms.units,
             is_retry: terms.resent,
-            coming: terms.coming,
+            body_incomplete: terms.coming,
         }));
     }
 
@@ -149,7 +149,7 @@
                     // The module leaves it open where clients are not known to heed it; a real one is told.
                     Command::Refuse(
                         request.0,
-                        if hold_off > 0.0 { hold_off } else { class.aim / 4.0 },
+                        if hold_off > 0.0 { hold_off } else { class.target_latency / 4.0 },
                         reason,
                     )
                 };
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -3,13 +3,14 @@
 use super::streams::COMES_WITHIN;
 use super::*;
 use crate::interface::{BackendState, Effect, ListKind};
-use crate::interface::{KeyScope, Limits, Plan, ReportBy, Rules};
+use crate::interface::{ColdStartRules, KeyScope, Limits, Plan, ReportMode};
 
 const VIEW: usize = 0;
 const TOP_UP: usize = 1;
 
 fn settings() -> Settings {
-    let class = |worth, aim, late_value, effect| Class { worth, aim, late_value, effect };
+    let class =
+        |worth, target_latency, late_value, effect| Class { worth, target_latency, late_value, effect };
     Settings {
         gateways: 2,
         ordinal: 0,
@@ -19,26 +20,31 @@
             price: 1.0,
             rate: 5.0,
             burst: 8.0,
-            at_once: 0.0,
-            beyond_earns: 0.0,
-            overrun_cost: 0.8,
+            max_concurrent: 0.0,
+            overage_value: 0.0,
+            overage_cost: 0.8,
             ceiling_rate: 0.0,
             ceiling_depth: 0.0,
         }],
-        rules: Rules { cold_share: 0.2, warm_up: 10_000.0, fall_multiple: 2.0, fall_span: 2000.0 },
+        cold_start: ColdStartRules {
+            cold_share: 0.2,
+            warm_up: 10_000.0,
+            overload_multiple: 2.0,
+            overload_window: 2000.0,
+        },
         limits: Limits {
             max_attempts: 3,
             may_duplicate: true,
             may_probe: false,
             probe_price: 0.005,
-            may_stop: true,
+            may_cancel: true,
             max_hold_off: 0.0,
             may_count: false,
         },
         report_fields: vec![],
-        report_by: ReportBy::Never,
+        report_mode: ReportMode::Never,
         meter_period: 1000.0,
-        most_units: 1.0,
+        max_units: 1.0,
         must_subscribe: false,
     }
 }
@@ -317,7 +323,7 @@
             .iter()
             .map(|(name, safe)| Class {
                 worth: 1.0 + *name as f64,
-                aim: 1000.0,
+                target_latency: 1000.0,
                 late_value: 0.2,
                 effect: if *safe { Effect::Safe } else { Effect::Unsafe },
             })
--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -94,7 +94,7 @@
     deadline: Millis,
     tries: u32,
     most: u32,
-    coming: bool,
+    body_incomplete: bool,
     out: u32,
     streaming: bool,
     /// Send time, zone and cell of the earliest attempt that may have run.
--- a/src/decision_engine/attempts.rs
+++ b/src/decision_engine/attempts.rs
@@ -11,7 +11,8 @@
         // Danger: with little out of its own, a gateway cannot tell busy backends from idle ones; probes can.
         let ready = self.servers.iter().filter(|s| self.may_take(s)).count().max(1) as f64;
         let blind = (1.0 + FEW as f64 * self.usual_out / ready).powi(-2);
-        let worth = RACE * self.set.limits.probe_price * self.set.classes[self.open[&id].class].aim;
+        let worth =
+            RACE * self.set.limits.probe_price * self.set.classes[self.open[&id].class].target_latency;
         let pays = self.wait > worth && self.rng.f64() < blind;
         let second = if self.set.limits.may_probe && pays { self.choose(None, Some(first)) } else { None };
         let warm = |i: usize| self.warmth(&self.servers[i]) >= 1.0;
@@ -48,17 +49,18 @@
         let (class, customer) = (open.class, open.customer);
         let told = &self.set.classes[class];
         // An answer that earns nothing is not worth the backend's work: stop waiting at the aim.
-        let useful = if told.late_value > 0.0 { f64::INFINITY } else { open.since + told.aim - 5.0 };
+        let useful =
+            if told.late_value > 0.0 { f64::INFINITY } else { open.since + told.target_latency - 5.0 };
         let last = open.deadline.min(useful);
         let timeout = (last - self.now).max(1.0).min(open.deadline - self.now);
-        let sent = if open.coming { f64::INFINITY } else { self.now };
+        let sent = if open.body_incomplete { f64::INFINITY } else { self.now };
         self.out.insert((id, open.tries), Out { server: index, class, customer, sent });
         open.tries += 1;
         open.out += 1;
-        let at_once = self.set.plans[open.plan].at_once;
+        let max_concurrent = self.set.plans[open.plan].max_concurrent;
         if let Some(customer) = self.customers.get_mut(&customer) {
             customer.out += 1.0;
-            if at_once > 0.0 {
+            if max_concurrent > 0.0 {
                 customer.past[0] = customer.past[0].max(customer.out);
             }
         }
@@ -164,7 +166,7 @@
         }
         let Some(server) = self.choose(scope, Some(but)) else { return false };
         let expected = self.expected(open.class, server);
-        let late = self.now + expected - open.since > told.aim;
+        let late = self.now + expected - open.since > told.target_latency;
         let value = told.worth * self.set.plans[open.plan].price * if late { told.late_value } else { 1.0 };
         if !self.pays(open.class, value, expected) {
             return false;
@@ -176,7 +178,7 @@
 
     /// When a refused client should come back: soon enough for another try within the aim.
     pub(super) fn hold_off(&self, class: usize) -> Millis {
-        self.set.limits.max_hold_off.min(self.set.classes[class].aim / 4.0)
+        self.set.limits.max_hold_off.min(self.set.classes[class].target_latency / 4.0)
     }
 
     /// The final answer for a request with nothing out: refused when trying again is harmless, else failed.
@@ -196,7 +198,7 @@
     /// Forgets a request that has had its answer and calls off what is still out for it.
     pub(super) fn end(&mut self, id: RequestId, act: &mut Vec<Action>) {
         self.races.retain(|race| race.0 != id);
-        if self.open.remove(&id).is_some() && self.set.limits.may_stop {
+        if self.open.remove(&id).is_some() && self.set.limits.may_cancel {
             let out = self.out.range((id, 0)..=(id, u32::MAX));
             act.extend(out.map(|(key, _)| Action::Cancel { request: id, attempt: key.1 }));
         }
@@ -214,10 +216,10 @@
                 if self.further(id, out.server, act) {
                     return;
                 }
-            } else if self.set.limits.may_stop && self.extra >= 1.0 {
+            } else if self.set.limits.may_cancel && self.extra >= 1.0 {
                 act.push(Action::Cancel { request: id, attempt });
             }
         }
-        self.remind(Due::Check(id), self.set.classes[class].aim * CHECK_SHARE, act);
+        self.remind(Due::Check(id), self.set.classes[class].target_latency * CHECK_SHARE, act);
     }
 }
--- a/src/decision_engine/price.rs
+++ b/src/decision_engine/price.rs
@@ -37,7 +37,9 @@
         }
         let ready = self.servers.iter().filter(|s| s.told.state == BackendState::Ready).count().max(1) as f64;
         let delay_cost: f64 = (self.classes.iter().zip(&self.set.classes))
-            .map(|(c, t)| delay_cost(f64::from(self.set.gateways) * t.worth, t.aim, c.admitted, seconds))
+            .map(|(c, t)| {
+                delay_cost(f64::from(self.set.gateways) * t.worth, t.target_latency, c.admitted, seconds)
+            })
             .sum();
         let price = congestion_price(self.wait, ready, delay_cost);
         // Danger: with nothing admitted nothing is measured, and a bad figure would stand: it fades.
@@ -89,7 +91,7 @@
     pub(super) fn pays(&mut self, class: usize, value: f64, expected: Millis) -> bool {
         let price = self.classes[class].price * self.load() * (0.5 + self.rng.f64());
         let told = &self.set.classes[class];
-        pays(value, told.worth, told.aim, expected, price)
+        pays(value, told.worth, told.target_latency, expected, price)
     }
 
     /// What is out now against what was out when the waits at hand were measured.
@@ -113,7 +115,7 @@
         if known > 0.0 {
             floor + self.wait.max(0.0)
         } else {
-            self.set.classes[class].aim * CHECK_SHARE
+            self.set.classes[class].target_latency * CHECK_SHARE
         }
     }
 }
--- a/src/decision_engine/servers.rs
+++ b/src/decision_engine/servers.rs
@@ -20,7 +20,7 @@
 impl DecisionEngine {
     /// Share of its full work that a backend can surely do, from its start on.
     pub(super) fn warmth(&self, server: &Server) -> f64 {
-        let rules = &self.set.rules;
+        let rules = &self.set.cold_start;
         let age = (self.now - server.ramp_from).max(0.0);
         if rules.warm_up <= 0.0 || age >= rules.warm_up {
             return 1.0;
@@ -176,8 +176,8 @@
         let mut unused: Vec<usize> = (0..self.servers.len()).filter(|i| !used.contains(i)).collect();
         for mut told in backends {
             // Danger: a start in the future would never warm up; without a figure it was long ago.
-            told.born = if told.born.is_finite() { told.born.min(self.now) } else { 0.0 };
-            let (born, now) = (told.born, self.now);
+            told.started_at = if told.started_at.is_finite() { told.started_at.min(self.now) } else { 0.0 };
+            let (born, now) = (told.started_at, self.now);
             let ramp_from = if born > 0.0 { born } else { f64::NEG_INFINITY };
             let fresh = Server { ramp_from, answered: now, ratio: 1.0, ..Server::default() };
             let known = self.by_id.get(&told.id).copied();
@@ -187,7 +187,7 @@
             if known.is_none() {
                 self.by_id.insert(told.id.clone(), index);
                 self.servers[index] = Server { told, ..fresh };
-            } else if born > self.servers[index].told.born {
+            } else if born > self.servers[index].told.started_at {
                 self.servers[index] = Server { told, out: self.servers[index].out, ..fresh };
             } else {
                 self.servers[index].told = told;
--- a/src/decision_engine/slice.rs
+++ b/src/decision_engine/slice.rs
@@ -21,8 +21,8 @@
         let entry = f64::from(request.entry_points.max(1));
         let (burst, since_start) = (plan.burst / entry, (now - self.started.unwrap_or(now)) / 1000.0);
         // Danger: split over many gateways, a calm customer's first request would be refused: one is lent.
-        let lent = if plan.at_once > 0.0 { (1.0 / plan.at_once).min(1.0) } else { 0.0 };
-        let worth = UNREAD + (1.0 - UNREAD) * (plan.beyond_earns - plan.overrun_cost);
+        let lent = if plan.max_concurrent > 0.0 { (1.0 / plan.max_concurrent).min(1.0) } else { 0.0 };
+        let worth = UNREAD + (1.0 - UNREAD) * (plan.overage_value - plan.overage_cost);
         let lot = if self.set.meter_period > 0.0 { LENT_READ } else { (LENT_BLIND * worth).clamp(0.0, 1.0) };
         let customer = self.customers.entry(request.customer).or_insert_with(|| Customer {
             plan: request.plan,
@@ -40,7 +40,7 @@
         });
         customer.entry = customer.entry.max(entry);
         let floor = 1.0 / customer.entry;
-        customer.roll(now, self.set.meter_period, plan.at_once);
+        customer.roll(now, self.set.meter_period, plan.max_concurrent);
         let seconds = (now - customer.shared_at) / 1000.0;
         if seconds >= 1.0 {
             customer.shared_at = now;
@@ -71,11 +71,11 @@
 
 impl Customer {
     /// Moves the memory of what was let through on to the present slot.
-    fn roll(&mut self, now: Millis, period: Millis, at_once: f64) {
+    fn roll(&mut self, now: Millis, period: Millis, max_concurrent: f64) {
         let slot = (now / (period / 2.0).max(100.0)).floor() as i64;
         for _ in 0..(slot - self.slot).clamp(0, SLOTS as i64) {
             self.past.rotate_right(1);
-            self.past[0] = if at_once > 0.0 { self.out } else { 0.0 };
+            self.past[0] = if max_concurrent > 0.0 { self.out } else { 0.0 };
         }
         self.slot = slot;
     }
@@ -85,7 +85,7 @@
         // A reading is about a period late; four half periods around its middle are looked at, and where
         // these hold too few requests to tell a rate, more before them.
         if plan.rate <= 0.0 {
-            return self.past[1..5].iter().copied().fold(0.0, f64::max) / plan.at_once.max(1.0);
+            return self.past[1..5].iter().copied().fold(0.0, f64::max) / plan.max_concurrent.max(1.0);
         }
         let half = (period / 2.0).max(100.0) / 1000.0;
         let (mut sum, mut slots) = (0.0, 0.0);
--- a/src/decision_engine/snapshot.rs
+++ b/src/decision_engine/snapshot.rs
@@ -132,7 +132,7 @@
             let server = &self.servers[*index];
             Host {
                 id: id.to_string(),
-                born: server.told.born,
+                born: server.told.started_at,
                 ramp_from: server.ramp_from,
                 ratio: server.ratio,
                 evidence: server.evidence,
@@ -180,7 +180,7 @@
         for host in learnt.hosts {
             let Some(&index) = self.by_id.get(host.id.as_str()) else { continue };
             let server = &mut self.servers[index];
-            if server.told.born <= host.born {
+            if server.told.started_at <= host.born {
                 server.ramp_from = server.ramp_from.max(host.ramp_from);
                 (server.ratio, server.evidence) = (host.ratio, host.evidence);
                 (server.faults, server.rest, server.rest_until) = (host.faults, host.rest, host.rest_until);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -60,7 +60,7 @@
     /// Worth of one unit answered within the aim.
     pub worth: f64,
     /// An answer within this time earns the full worth.
-    pub aim: Millis,
+    pub target_latency: Millis,
     /// Share of the worth that a later answer earns.
     pub late_value: f64,
     /// What may follow an attempt that might have run.
@@ -77,11 +77,11 @@
     /// The most units of the quota that can be used at once.
     pub burst: f64,
     /// The most attempts out at once inside the quota; 0 for no such quota.
-    pub at_once: f64,
+    pub max_concurrent: f64,
     /// Share of the worth that use beyond the quota earns when served.
-    pub beyond_earns: f64,
+    pub overage_value: f64,
     /// Share of the worth that use beyond the quota costs when sent on.
-    pub overrun_cost: f64,
+    pub overage_cost: f64,
     /// Hard ceiling in units a second; 0 for none.
     pub ceiling_rate: f64,
     /// The most units under the ceiling at once.
@@ -90,15 +90,15 @@
 
 /// Figures of the rules that backends' starts and drains must keep.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Rules {
+pub struct ColdStartRules {
     /// Least share of its capacity with which a backend starts.
     pub cold_share: f64,
     /// A started backend is warm by then.
     pub warm_up: Millis,
     /// A cold backend falls over when it gets more than this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... over a span of this length.
-    pub fall_span: Millis,
+    pub overload_window: Millis,
 }
 
 /// What the deployment permits.
@@ -113,7 +113,7 @@
     /// What one probe for each first try takes off the result, as a share of it; 0 where probes are free.
     pub probe_price: f64,
     /// Attempts may be called off.
-    pub may_stop: bool,
+    pub may_cancel: bool,
     /// The longest hold-off that a client honours; 0 when clients are not told.
     pub max_hold_off: Millis,
     /// The usage counter may be called.
@@ -141,7 +141,7 @@
 
 /// When backends tell their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReportBy {
+pub enum ReportMode {
     /// With every answer.
     Answer,
     /// Only when probed.
@@ -164,17 +164,17 @@
     /// The plans; a request names its customer's position here.
     pub plans: Vec<Plan>,
     /// Rules about cold backends.
-    pub rules: Rules,
+    pub cold_start: ColdStartRules,
     /// What is permitted.
     pub limits: Limits,
     /// Values of a load report.
     pub report_fields: Vec<ReportField>,
     /// When backends tell their load.
-    pub report_by: ReportBy,
+    pub report_mode: ReportMode,
     /// The period over which the meter sums use; 0 for no meter.
     pub meter_period: Millis,
     /// The most units that a request counts.
-    pub most_units: f64,
+    pub max_units: f64,
     /// News of backends must be subscribed to.
     pub must_subscribe: bool,
 }
@@ -216,7 +216,11 @@
         check(!self.plans.is_empty(), "plans".into(), "must not be empty")?;
         for (i, c) in self.classes.iter().enumerate() {
             number(c.worth, format!("classes[{i}].worth"))?;
-            check(c.aim.is_finite() && c.aim > 0.0, format!("classes[{i}].aim"), "must be above 0")?;
+            check(
+                c.target_latency.is_finite() && c.target_latency > 0.0,
+                format!("classes[{i}].aim"),
+                "must be above 0",
+            )?;
             number(c.late_value, format!("classes[{i}].late_value"))?;
             if let Effect::Keyed { window, .. } = c.effect {
                 number(window, format!("classes[{i}].window"))?;
@@ -227,9 +231,9 @@
                 ("price", p.price),
                 ("rate", p.rate),
                 ("burst", p.burst),
-                ("at_once", p.at_once),
-                ("beyond_earns", p.beyond_earns),
-                ("overrun_cost", p.overrun_cost),
+                ("at_once", p.max_concurrent),
+                ("beyond_earns", p.overage_value),
+                ("overrun_cost", p.overage_cost),
                 ("ceiling_rate", p.ceiling_rate),
                 ("ceiling_depth", p.ceiling_depth),
             ];
@@ -237,9 +241,9 @@
                 number(x, format!("plans[{i}].{name}"))?;
             }
         }
-        let cold = self.rules.cold_share;
+        let cold = self.cold_start.cold_share;
         check((0.0..=1.0).contains(&cold), "rules.cold_share".into(), "must be from 0 to 1")?;
-        number(self.rules.warm_up, "rules.warm_up".into())?;
+        number(self.cold_start.warm_up, "rules.warm_up".into())?;
         number(self.limits.probe_price, "limits.probe_price".into())?;
         number(self.meter_period, "meter_period".into())
     }
@@ -271,7 +275,7 @@
     /// Its size against the others'.
     pub rating: f64,
     /// When it last started; 0 for long ago.
-    pub born: Millis,
+    pub started_at: Millis,
 }
 
 /// How a list event is to be read.
@@ -330,7 +334,7 @@
     /// The client has asked before.
     pub is_retry: bool,
     /// Its last byte has not come: time, and that of its attempts, counts from [`Event::BodyComplete`].
-    pub coming: bool,
+    pub body_incomplete: bool,
 }
 
 /// How an attempt ended.
@@ -368,7 +372,7 @@
     },
     /// A client's try has come in.
     Request(Request),
-    /// The last byte of a request has come that came in while it was `coming`.
+    /// The last byte of a request has come that came in with `body_incomplete`.
     BodyComplete {
         /// The request.
         request: RequestId,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,31 +11,31 @@
 //!     gateways: 2,
 //!     ordinal: 0,
 //!     zone: 0,
-//!     classes: vec![Class { worth: 1.0, aim: 500.0, late_value: 0.0, effect: Effect::Safe }],
+//!     classes: vec![Class { worth: 1.0, target_latency: 500.0, late_value: 0.0, effect: Effect::Safe }],
 //!     plans: vec![Plan {
 //!         price: 1.0,
 //!         rate: 10.0,
 //!         burst: 20.0,
-//!         at_once: 0.0,
-//!         beyond_earns: 0.0,
-//!         overrun_cost: 0.5,
+//!         max_concurrent: 0.0,
+//!         overage_value: 0.0,
+//!         overage_cost: 0.5,
 //!         ceiling_rate: 0.0,
 //!         ceiling_depth: 0.0,
 //!     }],
-//!     rules: Rules { cold_share: 0.2, warm_up: 10_000.0, fall_multiple: 3.0, fall_span: 1000.0 },
+//!     cold_start: ColdStartRules { cold_share: 0.2, warm_up: 10_000.0, overload_multiple: 3.0, overload_window: 1000.0 },
 //!     limits: Limits {
 //!         max_attempts: 3,
 //!         may_duplicate: true,
 //!         may_probe: false,
 //!         probe_price: 0.005,
-//!         may_stop: true,
+//!         may_cancel: true,
 //!         max_hold_off: 0.0,
 //!         may_count: false,
 //!     },
 //!     report_fields: vec![],
-//!     report_by: ReportBy::Never,
+//!     report_mode: ReportMode::Never,
 //!     meter_period: 1000.0,
-//!     most_units: 1.0,
+//!     max_units: 1.0,
 //!     must_subscribe: false,
 //! };
 //! let mut engine = DecisionEngine::new(settings, 7)?;
@@ -46,7 +46,7 @@
 //!     cell: 0,
 //!     state: BackendState::Ready,
 //!     rating: 1.0,
-//!     born: 0.0,
+//!     started_at: 0.0,
 //! };
 //! engine.handle(0.0, Event::List { kind: ListKind::Full, backends: vec![backend] }, &mut actions);
 //! let request = Request {
@@ -58,7 +58,7 @@
 //!     budget: 1000.0,
 //!     units: 1.0,
 //!     is_retry: false,
-//!     coming: false,
+//!     body_incomplete: false,
 //! };
 //! engine.handle(1.0, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Attempt { request: RequestId(1), .. })));
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -71,7 +71,7 @@
         door.use_keys(wanted.keys.clone());
         Self {
             door,
-            aims: told.module.classes.iter().map(|class| class.aim).collect(),
+            aims: told.module.classes.iter().map(|class| class.target_latency).collect(),
             plans: told.plans.clone(),
             known: HashMap::new(),
             refused: Vec::new(),
--- a/src/net/message.rs
+++ b/src/net/message.rs
@@ -228,7 +228,7 @@
             Read::Missing => {}
             Read::Bad => return Err(BAD_TERMS),
             Read::Is(text) => {
-                (terms.units, terms.spread) = call_terms(text, told.module.most_units, gateways)?;
+                (terms.units, terms.spread) = call_terms(text, told.module.max_units, gateways)?;
             }
         }
         Ok(terms)
--- a/src/process/config.rs
+++ b/src/process/config.rs
@@ -78,7 +78,7 @@
                 _ => return Err(phase.bad("unknown")),
             },
             rating: from.at("size").number_or(1.0)?,
-            born: from.at("up_since_ms").number_or(0.0)?,
+            started_at: from.at("up_since_ms").number_or(0.0)?,
         },
         address: host_port.text()?.parse().map_err(|_| host_port.bad("is no address and port"))?,
         http2: from.at("protocol").text_or_empty()? == "h2c",
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -244,18 +244,18 @@
             zone: from.at("az").count()?,
             classes: Vec::new(),
             plans: Vec::new(),
-            rules: face::Rules {
+            cold_start: face::ColdStartRules {
                 cold_share: rules.at("coldShare").number()?,
                 warm_up: rules.at("warmUpMs").number()?,
-                fall_multiple: rules.at("fallMultiple").number()?,
-                fall_span: rules.at("overloadForMs").number()?,
+                overload_multiple: rules.at("fallMultiple").number()?,
+                overload_window: rules.at("overloadForMs").number()?,
             },
             limits: face::Limits {
                 max_attempts: limits.at("maxAttempts").count_or(0)?,
                 may_duplicate: limits.at("mayDuplicate").flag()?,
                 may_probe: limits.at("mayProbe").flag()?,
                 probe_price: from.at("penalties").at("probe").number_or(0.0)?,
-                may_stop: limits.at("cancel").flag()?,
+                may_cancel: limits.at("cancel").flag()?,
                 max_hold_off: match limits.at("retryAfter").flag()? {
                     true => limits.at("maxRetryAfterMs").number_or(0.0)?,
                     false => 0.0,
@@ -263,13 +263,13 @@
                 may_count: family.at("mayCount").flag()?,
             },
             report_fields: Vec::new(),
-            report_by: match report.at("how").text_or_empty()? {
-                "inline" => face::ReportBy::Answer,
-                "on_probe" => face::ReportBy::Probe,
-                _ => face::ReportBy::Never,
+            report_mode: match report.at("how").text_or_empty()? {
+                "inline" => face::ReportMode::Answer,
+                "on_probe" => face::ReportMode::Probe,
+                _ => face::ReportMode::Never,
             },
             meter_period: family.at("meterMs").number_or(0.0)?,
-            most_units: family.at("unitsTop").number_or(0.0)?,
+            max_units: family.at("unitsTop").number_or(0.0)?,
             must_subscribe: from.at("discovery").text_or_empty()? == "subscribe",
         };
         let mut classes = Vec::new();
@@ -441,9 +441,9 @@
                         price: own.price,
                         rate: lower(own.rate, theirs.rate),
                         burst: lower(own.burst, theirs.burst),
-                        at_once: lower(own.at_once, theirs.at_once),
-                        beyond_earns: own.beyond_earns.min(theirs.beyond_earns),
-                        overrun_cost: own.overrun_cost.max(theirs.overrun_cost),
+                        max_concurrent: lower(own.max_concurrent, theirs.max_concurrent),
+                        overage_value: own.overage_value.min(theirs.overage_value),
+                        overage_cost: own.overage_cost.max(theirs.overage_cost),
                         ceiling_rate: lower(own.ceiling_rate, theirs.ceiling_rate),
                         ceiling_depth: lower(own.ceiling_depth, theirs.ceiling_depth),
                     }
@@ -454,12 +454,12 @@
         limits.max_attempts = limits.max_attempts.min(theirs.max_attempts);
         limits.may_duplicate &= theirs.may_duplicate;
         limits.may_probe &= theirs.may_probe;
-        let (rules, theirs) = (&mut told.module.rules, &other.module.rules);
+        let (rules, theirs) = (&mut told.module.cold_start, &other.module.cold_start);
         rules.cold_share = rules.cold_share.min(theirs.cold_share);
         rules.warm_up = rules.warm_up.max(theirs.warm_up);
-        rules.fall_multiple = rules.fall_multiple.min(theirs.fall_multiple);
-        rules.fall_span = rules.fall_span.max(theirs.fall_span);
-        told.module.most_units = lower(told.module.most_units, other.module.most_units);
+        rules.overload_multiple = rules.overload_multiple.min(theirs.overload_multiple);
+        rules.overload_window = rules.overload_window.max(theirs.overload_window);
+        told.module.max_units = lower(told.module.max_units, other.module.max_units);
         told.max_open = told.max_open.min(other.max_open);
         told.drain_grace = told.drain_grace.min(other.drain_grace);
         told
@@ -483,7 +483,7 @@
             _ => return Err(effect.bad("unknown")),
         },
         worth: class.at("worth").number()?,
-        aim: class.at("onTimeMs").number()?,
+        target_latency: class.at("onTimeMs").number()?,
         late_value: class.at("lateValue").number_or(0.0)?,
     })
 }
@@ -494,9 +494,9 @@
         price: plan.at("pays").number()?,
         rate: figure("rate")?,
         burst: figure("mostAtOnce")?,
-        at_once: figure("atOnce")?,
-        beyond_earns: figure("beyondEarns")?,
-        overrun_cost: figure("overrunCost")?,
+        max_concurrent: figure("atOnce")?,
+        overage_value: figure("beyondEarns")?,
+        overage_cost: figure("overrunCost")?,
         ceiling_rate: figure("ceilingRate")?,
         ceiling_depth: figure("capDepth")?,
     })
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -29,7 +29,7 @@
 #[test]
 fn price_is_squared_wait_over_servers_times_delay_cost_smoothed() {
     let mut settings = settings();
-    settings.classes[0] = Class { worth: 1_000.0, aim: 10_000.0, ..settings.classes[0].clone() };
+    settings.classes[0] = Class { worth: 1_000.0, target_latency: 10_000.0, ..settings.classes[0].clone() };
     let mut driver = Driver::new(settings, 1);
     // Answers of 100 ms: the floor. No wait, so no price.
     for n in 0..44 {
@@ -177,7 +177,7 @@
 fn beyond_the_slice_only_soft_plans_are_lent_to() {
     for (earns, lent) in [(0.0, false), (0.9, true)] {
         let mut settings = settings();
-        settings.plans[0] = Plan { rate: 1.0, burst: 2.0, beyond_earns: earns, overrun_cost: 0.0, ..plan() };
+        settings.plans[0] = Plan { rate: 1.0, burst: 2.0, overage_value: earns, overage_cost: 0.0, ..plan() };
         let mut driver = Driver::new(settings, 1);
         driver.request(request(1));
         assert_eq!(sent(&driver.request(request(2))).is_some(), lent);
@@ -187,7 +187,7 @@
 #[test]
 fn at_once_cap_is_split_and_its_small_parts_are_granted_by_chance() {
     let mut settings = settings();
-    settings.plans[0] = Plan { rate: 0.0, burst: 0.0, at_once: 4.0, ..plan() };
+    settings.plans[0] = Plan { rate: 0.0, burst: 0.0, max_concurrent: 4.0, ..plan() };
     let mut driver = Driver::new(settings.clone(), 1);
     let out = (0..200)
         .filter(|&n| sent(&driver.request(Request { entry_points: 16, ..request(n) })).is_some())
@@ -328,7 +328,7 @@
 #[test]
 fn a_caps_attempt_is_lent_once_where_no_answer_brings_a_reading() {
     let mut settings = settings();
-    settings.plans[0] = Plan { rate: 0.0, burst: 0.0, at_once: 2.0, ..plan() };
+    settings.plans[0] = Plan { rate: 0.0, burst: 0.0, max_concurrent: 2.0, ..plan() };
     let mut driver = Driver::new(settings, 4);
     let mut let_in = 0;
     for id in 0..20 {
@@ -446,7 +446,8 @@
     // Guarded against: hosts that slow down stretch heavy work by more milliseconds than light work. Priced out by
     // that, the light class tells nothing any more, and the heavy one's spread alone kept the price up.
     let mut told = settings();
-    told.classes = vec![class(Effect::Safe), Class { worth: 6.0, aim: 4000.0, ..class(Effect::Unsafe) }];
+    told.classes =
+        vec![class(Effect::Safe), Class { worth: 6.0, target_latency: 4000.0, ..class(Effect::Unsafe) }];
     told.gateways = 4;
     let mut driver = Driver::new(told, 1);
     // 40 light ones of 50 ms and 8 heavy ones of 250 ms a second, each stretched by so much.
--- a/tests/agreed_settings.rs
+++ b/tests/agreed_settings.rs
@@ -34,7 +34,7 @@
 #[case::lower_rate("\"rate\": 0.89", "\"rate\": 0.5", |t: &Told| t.module.plans[0].rate, 0.5)]
 #[case::no_rate_is_no_limit("\"rate\": 0.89", "\"rate\": 0.0", |t: &Told| t.module.plans[0].rate, 0.89)]
 #[case::shorter_wait("\"giveUpMs\": 4000.0", "\"giveUpMs\": 3000.0", |t: &Told| t.classes[0].1, 3000.0)]
-#[case::colder("\"coldShare\": 0.16", "\"coldShare\": 0.1", |t: &Told| t.module.rules.cold_share, 0.1)]
+#[case::colder("\"coldShare\": 0.16", "\"coldShare\": 0.1", |t: &Told| t.module.cold_start.cold_share, 0.1)]
 #[case::a_class_of_one_only("\"name\": \"top-up\"", "\"name\": \"pay\"", |t: &Told| t.classes.len() as f64, 1.0)]
 #[case::a_plan_of_one_only("\"name\": \"family\"", "\"name\": \"home\"", |t: &Told| t.module.plans.len() as f64, 2.0)]
 fn the_stricter_of_two_settings_is_looser_than_neither_whichever_way(
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -150,7 +150,7 @@
         for n in 0..4_000_u64 {
             driver.advance(n as f64 * 10.0);
             if n == 1_000 {
-                driver.list(ListKind::Changes, vec![Backend { born, ..backend(9) }]);
+                driver.list(ListKind::Changes, vec![Backend { started_at: born, ..backend(9) }]);
             }
             if let Some(at) = sent(&driver.request(request(n))) {
                 if (1_000..1_300).contains(&n) {
@@ -188,7 +188,7 @@
     };
     assert_eq!(field(|s| s.gateways = 0), "gateways");
     assert_eq!(field(|s| s.plans[0].rate = -1.0), "plans[0].rate");
-    assert_eq!(field(|s| s.classes[0].aim = f64::NAN), "classes[0].aim");
+    assert_eq!(field(|s| s.classes[0].target_latency = f64::NAN), "classes[0].aim");
     assert_eq!(field(|s| s.plans.clear()), "plans");
 }
 
@@ -221,7 +221,8 @@
                 4 => {
                     let state =
                         [BackendState::Ready, BackendState::Draining, BackendState::Removed][rng.usize(0..3)];
-                    let told = Backend { state, born: rng.f64() * driver.now, ..backend(rng.u32(1..9)) };
+                    let told =
+                        Backend { state, started_at: rng.f64() * driver.now, ..backend(rng.u32(1..9)) };
                     watch.states.insert(told.id.to_string(), state);
                     driver.list(ListKind::Changes, vec![told])
                 }
@@ -426,7 +427,8 @@
         let mut driver = Driver::new(settings(), 0);
         driver.engine = switchhill::DecisionEngine::new(settings(), seed).expect("usable settings");
         driver.now = 100_000.0;
-        let list = (1..=10).map(|n| Backend { born: if n == 1 { 99_999.0 } else { 0.0 }, ..backend(n) });
+        let list =
+            (1..=10).map(|n| Backend { started_at: if n == 1 { 99_999.0 } else { 0.0 }, ..backend(n) });
         driver.list(ListKind::Saved, list.collect());
         cold += u32::from(sent(&driver.request(request(1))) == Some("10.0.0.1:80"));
     }
@@ -570,7 +572,7 @@
     let id = |n: u32| -> BackendId { format!("10.0.{}.{}:80", n / 200, n % 200).into() };
     for n in 10..400 {
         driver.advance(driver.now + 100.0);
-        let fresh = Backend { id: id(n), born: driver.now, ..backend(1) };
+        let fresh = Backend { id: id(n), started_at: driver.now, ..backend(1) };
         let old = |n: u32, state| Backend { id: id(n), state, ..backend(1) };
         driver.list(ListKind::Changes, vec![fresh, old(n - 2, BackendState::Removed)]);
     }
@@ -665,7 +667,7 @@
         driver.advance(driver.now + 50.0);
         driver.outcome(id, 0, Code::Success);
     }
-    let upload = Request { class: 1, coming: true, ..request(100) };
+    let upload = Request { class: 1, body_incomplete: true, ..request(100) };
     assert!(sent(&driver.request(upload)).is_some());
     driver.log.clear();
     driver.advance(driver.now + 60_000.0);
@@ -678,7 +680,7 @@
     let admitted = (200..220).filter(|id| sent(&driver.request(request(*id))).is_some()).count();
     assert_eq!(admitted, 20, "nothing is priced out");
     // Without its answer it fails in the time that counts from the last byte.
-    driver.request(Request { class: 1, coming: true, ..request(300) });
+    driver.request(Request { class: 1, body_incomplete: true, ..request(300) });
     driver.advance(driver.now + 10_000.0);
     driver.event(Event::BodyComplete { request: RequestId(300), budget: 2000.0 });
     assert!(!failed(&driver.advance(driver.now + 1900.0)));
@@ -695,10 +697,10 @@
             let mut told = settings();
             told.gateways = if many == 1 { 300 } else { 4 };
             told.ordinal = ordinal;
-            told.rules = Rules { cold_share: 0.0, warm_up: 60_000.0, ..told.rules };
+            told.cold_start = ColdStartRules { cold_share: 0.0, warm_up: 60_000.0, ..told.cold_start };
             let mut driver = Driver::new(told, 9);
             driver.advance(20_000.0);
-            driver.list(ListKind::Changes, vec![Backend { born: 20_000.0, ..backend(1) }]);
+            driver.list(ListKind::Changes, vec![Backend { started_at: 20_000.0, ..backend(1) }]);
             // Two requests a second for five seconds.
             for id in 0..10 {
                 driver.advance(driver.now + 500.0);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -138,13 +138,19 @@
     // Ten hosts that can do a request a second each, one of them just started; ten requests a second over gateways of
     // which some get several times the mean.
     const START: Millis = 100_000.0;
-    let rules = Rules { cold_share: 0.2, warm_up: 10_000.0, fall_multiple: 2.0, fall_span: 2_000.0 };
+    let rules = ColdStartRules {
+        cold_share: 0.2,
+        warm_up: 10_000.0,
+        overload_multiple: 2.0,
+        overload_window: 2_000.0,
+    };
     let mut fleet: Vec<Driver> = (0..gateways)
         .map(|ordinal| {
-            let told = Settings { gateways, ordinal, rules: rules.clone(), ..settings() };
+            let told = Settings { gateways, ordinal, cold_start: rules.clone(), ..settings() };
             let mut driver = Driver::seeded(told, 0, seed * 1_000 + u64::from(ordinal));
             driver.advance(START - 1.0);
-            let list = (1..=10).map(|n| Backend { born: if n == 1 { START } else { 0.0 }, ..backend(n) });
+            let list =
+                (1..=10).map(|n| Backend { started_at: if n == 1 { START } else { 0.0 }, ..backend(n) });
             driver.now = START;
             driver.list(ListKind::Full, list.collect());
             driver
@@ -174,13 +180,13 @@
             }));
         }
         let warmth = (0.2 + 0.8 * (now - START) / rules.warm_up).min(1.0);
-        let budget = rules.fall_multiple * warmth * rules.fall_span / 1_000.0;
-        let of_late = sent_at.iter().filter(|at| now - **at < rules.fall_span).count() as f64;
+        let budget = rules.overload_multiple * warmth * rules.overload_window / 1_000.0;
+        let of_late = sent_at.iter().filter(|at| now - **at < rules.overload_window).count() as f64;
         let most = budget + 2.0 * budget.sqrt() + 2.0;
         assert!(
             of_late <= most,
             "seed {seed}: {of_late} within {} ms at {}, {most:.1} allowed",
-            rules.fall_span,
+            rules.overload_window,
             now - START
         );
     }
--- a/tests/fleet_quota.rs
+++ b/tests/fleet_quota.rs
@@ -26,7 +26,7 @@
         gateways: GATEWAYS,
         ordinal,
         classes: classes.to_vec(),
-        plans: vec![Plan { rate: RATE, burst: BURST, overrun_cost: COST, ..plan() }],
+        plans: vec![Plan { rate: RATE, burst: BURST, overage_cost: COST, ..plan() }],
         meter_period: if metered { PERIOD as f64 } else { 0.0 },
         ..settings()
     }
--- a/tests/store_model.rs
+++ b/tests/store_model.rs
@@ -59,7 +59,7 @@
     let mut set = support::settings();
     set.gateways = case.gateways as u32;
     set.meter_period = PERIOD;
-    set.plans = vec![Plan { rate: RATE, burst: case.burst, overrun_cost: 0.9, ..support::plan() }];
+    set.plans = vec![Plan { rate: RATE, burst: case.burst, overage_cost: 0.9, ..support::plan() }];
     let hosts = || (1..=3).map(support::backend).collect();
     let mut stores = [Store::default(), Store::default()];
     let mut gateways: Vec<Gateway> = (0..case.gateways)
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use switchhill::DecisionEngine;
 
 pub fn class(effect: Effect) -> Class {
-    Class { worth: 1.0, aim: 1000.0, late_value: 0.2, effect }
+    Class { worth: 1.0, target_latency: 1000.0, late_value: 0.2, effect }
 }
 
 pub fn plan() -> Plan {
@@ -13,9 +13,9 @@
         price: 1.0,
         rate: 1000.0,
         burst: 1000.0,
-        at_once: 0.0,
-        beyond_earns: 0.0,
-        overrun_cost: 0.5,
+        max_concurrent: 0.0,
+        overage_value: 0.0,
+        overage_cost: 0.5,
         ceiling_rate: 0.0,
         ceiling_depth: 0.0,
     }
@@ -28,20 +28,25 @@
         zone: 0,
         classes: vec![class(Effect::Safe)],
         plans: vec![plan()],
-        rules: Rules { cold_share: 0.2, warm_up: 10_000.0, fall_multiple: 3.0, fall_span: 1000.0 },
+        cold_start: ColdStartRules {
+            cold_share: 0.2,
+            warm_up: 10_000.0,
+            overload_multiple: 3.0,
+            overload_window: 1000.0,
+        },
         limits: Limits {
             max_attempts: 4,
             may_duplicate: false,
             may_probe: false,
             probe_price: 0.005,
-            may_stop: true,
+            may_cancel: true,
             max_hold_off: 0.0,
             may_count: false,
         },
         report_fields: vec![],
-        report_by: ReportBy::Never,
+        report_mode: ReportMode::Never,
         meter_period: 1000.0,
-        most_units: 4.0,
+        max_units: 4.0,
         must_subscribe: false,
     }
 }
@@ -52,7 +57,7 @@
 
 pub fn backend(n: u32) -> Backend {
     let id = format!("10.0.0.{n}:80").into();
-    Backend { id, zone: n % 2, cell: n % 3, state: BackendState::Ready, rating: 1.0, born: 0.0 }
+    Backend { id, zone: n % 2, cell: n % 3, state: BackendState::Ready, rating: 1.0, started_at: 0.0 }
 }
 
 pub fn request(id: u64) -> Request {
@@ -65,7 +70,7 @@
         budget: 2000.0,
         units: 1.0,
         is_retry: false,
-        coming: false,
+        body_incomplete: false,
     }
 }
 
