--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -4,7 +4,7 @@
 use crate::price;
 use crate::route::Route;
 use crate::service::Service;
-use crate::terms::{Decision, RouteTerms, Sample, ServiceLoad, Settings, Summary};
+use crate::types::{Decision, RouteTerms, Sample, ServiceLoad, Settings, Summary};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Half the spread of a request's worth around its route's: clients differ in what an answer is worth, and a
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -29,10 +29,10 @@
 mod route;
 mod service;
 mod size;
-mod terms;
+mod types;
 mod wait;
 
 pub use controller::Controller;
 pub use hung::{worker_hung, Silence};
 pub use monotone::{non_decreasing, Weighted};
-pub use terms::{Decision, RouteTerms, Sample, ServiceLoad, Settings, Summary};
+pub use types::{Decision, RouteTerms, Sample, ServiceLoad, Settings, Summary};
--- a/crates/admission/src/route.rs
+++ b/crates/admission/src/route.rs
@@ -2,7 +2,7 @@
 
 use crate::price;
 use crate::size::Sizes;
-use crate::terms::{RouteTerms, Sample, Summary};
+use crate::types::{RouteTerms, Sample, Summary};
 use crate::wait::Waits;
 
 /// Part of a mean request's worth that the least urgent route lacks. It is charged the price in full against
--- a/crates/admission/src/service.rs
+++ b/crates/admission/src/service.rs
@@ -1,6 +1,6 @@
 //! Load of one service: how full its workers are and how fast they drain what waits there.
 
-use crate::terms::{ServiceLoad, Settings};
+use crate::types::{ServiceLoad, Settings};
 
 /// Weight of the newest second in the drain rate.
 const DRAIN_WEIGHT: f64 = 0.3;
