--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,10 +1,10 @@
 //! The admission stage of one gatekeeper.
 
-use crate::monotone::{non_decreasing, Weighted};
+use crate::monotone::{isotonic_regression, WeightedValue};
 use crate::price;
 use crate::route::Route;
 use crate::service::Service;
-use crate::types::{Decision, RouteTerms, Sample, ServiceLoad, Settings, Summary};
+use crate::types::{Decision, RouteConfig, Sample, ServiceLoad, Settings, Summary};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Half the spread of a request's worth around its route's: clients differ in what an answer is worth, and a
@@ -65,7 +65,7 @@
     }
 
     /// Replaces the routes; one that stays keeps its price and what was measured, also under other terms.
-    pub fn set_routes(&mut self, _now: u64, terms: &[RouteTerms]) {
+    pub fn set_routes(&mut self, _now: u64, terms: &[RouteConfig]) {
         let mut before = std::mem::take(&mut self.routes);
         for told in terms {
             let mut route = before.remove(&told.route).unwrap_or_else(|| Route::new(told.clone()));
@@ -88,7 +88,7 @@
 
     /// Replaces a service's load; the more often, the sooner a burst is met.
     /// A service that no route names is ignored.
-    pub fn set_service(&mut self, now: u64, service: &str, load: ServiceLoad) {
+    pub fn set_service_load(&mut self, now: u64, service: &str, load: ServiceLoad) {
         self.note(now);
         let Some(known) = self.services.get_mut(service) else { return };
         known.set_load(load);
@@ -100,7 +100,7 @@
 
     /// Decides on a request of this size (tokens, say) whose client waits `time_left_ms` more. A request of an
     /// unknown route is admitted: routing has an answer for it.
-    pub fn arrived(&mut self, now: u64, route: &str, size: f64, time_left_ms: f64) -> Decision {
+    pub fn decide(&mut self, now: u64, route: &str, size: f64, time_left_ms: f64) -> Decision {
         self.note(now);
         let Some(route) = self.routes.get_mut(route) else { return Decision::Admit };
         let Some(service) = self.services.get_mut(&route.terms.service) else { return Decision::Admit };
@@ -123,7 +123,7 @@
         }
         let calm_in =
             service.calm_in_ms(&self.settings).max(fall_ms(route.charge * pressure, self.settings.alpha));
-        let wanted = calm_in.max(LEAST_RETRY_SHARE * route.aim_ms());
+        let wanted = calm_in.max(LEAST_RETRY_SHARE * route.target_latency_ms());
         let longest = (time_left_ms * MOST_RETRY_SHARE).max(0.0);
         let delay = wanted.min(longest) * (1.0 - RETRY_SPREAD * self.rng.f64());
         Decision::Refuse { retry_after_ms: delay as u64 }
@@ -131,27 +131,27 @@
 
     /// Takes what a request tells that has had its first byte, or has ended without one. What is found
     /// after a stall of this process tells nothing.
-    pub fn finished(&mut self, now: u64, route: &str, sample: Sample) {
+    pub fn record_sample(&mut self, now: u64, route: &str, sample: Sample) {
         self.note(now);
         if now < self.stalled_until {
             return;
         }
         if let Some(route) = self.routes.get_mut(route) {
-            route.finished(&sample);
+            route.record_sample(&sample);
         }
     }
 
     /// Takes the sum of what the other gatekeepers tell of a route; it replaces the last one.
-    pub fn elsewhere(&mut self, now: u64, route: &str, summary: Summary) {
-        self.heard(now);
+    pub fn set_peer_summary(&mut self, now: u64, route: &str, summary: Summary) {
+        self.peers_heard(now);
         if let Some(route) = self.routes.get_mut(route) {
-            route.elsewhere(now, summary);
+            route.set_peer_summary(now, summary);
         }
     }
 
     /// Notes that the other gatekeepers were heard, also where they have nothing to tell. Until it is called
     /// again within five seconds, each of them is taken to admit as much as this one.
-    pub fn heard(&mut self, now: u64) {
+    pub fn peers_heard(&mut self, now: u64) {
         self.heard_at = Some(now);
     }
 
@@ -220,12 +220,12 @@
             let by_charge = || a.own_charge(queue_wait).total_cmp(&b.own_charge(queue_wait));
             a.terms.priority.cmp(&b.terms.priority).then_with(by_charge)
         });
-        let charge = |route: &&mut Route| Weighted {
+        let charge = |route: &&mut Route| WeightedValue {
             value: route.own_charge(queue_wait),
             weight: route.asked_per_s().max(IDLE_WEIGHT),
         };
-        let charges: Vec<Weighted> = routes.iter().map(charge).collect();
-        for (route, charge) in routes.into_iter().zip(non_decreasing(&charges)) {
+        let charges: Vec<WeightedValue> = routes.iter().map(charge).collect();
+        for (route, charge) in routes.into_iter().zip(isotonic_regression(&charges)) {
             route.charge = charge;
         }
     }
@@ -263,9 +263,9 @@
 
 /// The admission test of one request, whose worth is drawn around its route's.
 fn pays(route: &Route, units: f64, draw: f64, wait: f64, pressure: f64) -> bool {
-    let (worth, aim, surplus) = (route.worth * units, route.aim_ms(), route.surplus());
+    let (worth, aim, surplus) = (route.worth * units, route.target_latency_ms(), route.surplus());
     let value = worth * (1.0 - surplus + surplus * draw);
     // The price as charged: with it, wait and price together come to the route's share of the charges.
     let charged = worth * (surplus * route.charge * pressure - wait / aim);
-    price::pays(value, worth, aim, route.served_ms() + wait, charged)
+    price::exceeds_cost(value, worth, aim, route.served_ms() + wait, charged)
 }
--- a/crates/admission/src/hung.rs
+++ b/crates/admission/src/hung.rs
@@ -5,7 +5,7 @@
 
 /// An attempt that has no answer yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Silence {
+pub struct UnansweredAttempt {
     /// Time since it was sent.
     pub age_ms: f64,
     /// Latency that its route's answers have at present.
@@ -20,7 +20,7 @@
 ///
 /// Queues are served in turn, so an attempt that was overtaken is lost; and a worker of which nothing at all
 /// is heard for ten times the expected latency stands still.
-pub fn worker_hung(silence: Silence) -> bool {
+pub fn is_worker_hung(silence: UnansweredAttempt) -> bool {
     let silent = silence.age_ms > SILENT * silence.expected_ms.max(1.0);
     silent && (silence.overtaken || !silence.worker_heard)
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -7,19 +7,19 @@
 //! `docs/design/admission.md`.
 //!
 //! ```
-//! use switchhill_admission::{Controller, Decision, RouteTerms, ServiceLoad, Settings};
+//! use switchhill_admission::{Controller, Decision, RouteConfig, ServiceLoad, Settings};
 //!
 //! let mut controller = Controller::new(Settings { seed: 7, ..Settings::default() });
-//! let terms = RouteTerms {
+//! let terms = RouteConfig {
 //!     route: "live".into(),
 //!     service: "model".into(),
-//!     aim_ms: 400.0,
+//!     target_latency_ms: 400.0,
 //!     priority: 0,
 //!     timeout_ms: 12_000.0,
 //! };
 //! controller.set_routes(0, &[terms]);
-//! controller.set_service(0, "model", ServiceLoad { ready_workers: 18, slots: 576, known: 40.0 });
-//! assert_eq!(controller.arrived(5, "live", 826.0, 12_000.0), Decision::Admit);
+//! controller.set_service_load(0, "model", ServiceLoad { ready_workers: 18, slots: 576, outstanding: 40.0 });
+//! assert_eq!(controller.decide(5, "live", 826.0, 12_000.0), Decision::Admit);
 //! ```
 
 mod controller;
@@ -33,6 +33,6 @@
 mod wait;
 
 pub use controller::Controller;
-pub use hung::{worker_hung, Silence};
-pub use monotone::{non_decreasing, Weighted};
-pub use types::{Decision, RouteTerms, Sample, ServiceLoad, Settings, Summary};
+pub use hung::{is_worker_hung, UnansweredAttempt};
+pub use monotone::{isotonic_regression, WeightedValue};
+pub use types::{Decision, RouteConfig, Sample, ServiceLoad, Settings, Summary};
--- a/crates/admission/src/monotone.rs
+++ b/crates/admission/src/monotone.rs
@@ -1,8 +1,8 @@
-//! Weighted isotonic regression, by pooling of adjacent violators.
+//! WeightedValue isotonic regression, by pooling of adjacent violators.
 
 /// A value and the weight with which it enters a mean.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Weighted {
+pub struct WeightedValue {
     /// The value.
     pub value: f64,
     /// Its weight, above 0.
@@ -10,8 +10,8 @@
 }
 
 /// The non-decreasing sequence nearest to `values` in weighted squares; weighted sums are kept.
-pub fn non_decreasing(values: &[Weighted]) -> Vec<f64> {
-    let mut pools: Vec<(Weighted, usize)> = Vec::with_capacity(values.len());
+pub fn isotonic_regression(values: &[WeightedValue]) -> Vec<f64> {
+    let mut pools: Vec<(WeightedValue, usize)> = Vec::with_capacity(values.len());
     for value in values {
         let mut pool = (*value, 1);
         while let Some(before) = pools.pop_if(|before| before.0.value > pool.0.value) {
@@ -22,7 +22,7 @@
     pools.iter().flat_map(|(pool, length)| std::iter::repeat_n(pool.value, *length)).collect()
 }
 
-fn merged(a: Weighted, b: Weighted) -> Weighted {
+fn merged(a: WeightedValue, b: WeightedValue) -> WeightedValue {
     let weight = a.weight + b.weight;
-    Weighted { value: (a.value * a.weight + b.value * b.weight) / weight, weight }
+    WeightedValue { value: (a.value * a.weight + b.value * b.weight) / weight, weight }
 }
--- a/crates/admission/src/price.rs
+++ b/crates/admission/src/price.rs
@@ -16,6 +16,6 @@
 }
 
 /// The admission test: whether `value` exceeds the price and what the expected time costs of `worth`.
-pub fn pays(value: f64, worth: f64, aim: f64, expected: f64, price: f64) -> bool {
+pub fn exceeds_cost(value: f64, worth: f64, aim: f64, expected: f64, price: f64) -> bool {
     value - worth / aim * expected - price > 0.0
 }
--- a/crates/admission/src/route.rs
+++ b/crates/admission/src/route.rs
@@ -2,7 +2,7 @@
 
 use crate::price;
 use crate::size::Sizes;
-use crate::types::{RouteTerms, Sample, Summary};
+use crate::types::{RouteConfig, Sample, Summary};
 use crate::wait::Waits;
 
 /// Part of a mean request's worth that the least urgent route lacks. It is charged the price in full against
@@ -16,7 +16,7 @@
 /// State of one route.
 #[derive(Debug, Clone)]
 pub(crate) struct Route {
-    pub(crate) terms: RouteTerms,
+    pub(crate) terms: RouteConfig,
     /// Worth of a unit by its rank.
     pub(crate) worth: f64,
     pub(crate) sizes: Sizes,
@@ -34,7 +34,7 @@
 
 impl Route {
     /// A route of which nothing is known: its price starts at nought.
-    pub(crate) fn new(terms: RouteTerms) -> Self {
+    pub(crate) fn new(terms: RouteConfig) -> Self {
         Self {
             terms,
             worth: 1.0,
@@ -67,14 +67,14 @@
     }
 
     /// Takes what a finished request tells.
-    pub(crate) fn finished(&mut self, sample: &Sample) {
+    pub(crate) fn record_sample(&mut self, sample: &Sample) {
         if let Some(latency) = sample.latency_ms() {
             self.waits.sample(latency);
         }
     }
 
     /// Takes the sum of what other gatekeepers tell.
-    pub(crate) fn elsewhere(&mut self, now: u64, summary: Summary) {
+    pub(crate) fn set_peer_summary(&mut self, now: u64, summary: Summary) {
         let sound = |figure: f64| if figure.is_finite() { figure.max(0.0) } else { 0.0 };
         let summary = Summary {
             admitted_per_s: sound(summary.admitted_per_s),
@@ -86,7 +86,7 @@
     /// What this gatekeeper tells the others.
     pub(crate) fn own(&self) -> Summary {
         let rate = self.admitted_per_s;
-        let delay_cost_per_s = price::delay_cost(self.worth, self.aim_ms(), rate, 1.0);
+        let delay_cost_per_s = price::delay_cost(self.worth, self.target_latency_ms(), rate, 1.0);
         Summary { admitted_per_s: rate, delay_cost_per_s }
     }
 
@@ -113,8 +113,8 @@
     }
 
     /// Latency aim, at least a millisecond.
-    pub(crate) fn aim_ms(&self) -> f64 {
-        self.terms.aim_ms.max(1.0)
+    pub(crate) fn target_latency_ms(&self) -> f64 {
+        self.terms.target_latency_ms.max(1.0)
     }
 
     /// Wait that a request has before it: what answers tell, or the queue if that is longer.
@@ -124,17 +124,17 @@
 
     /// Latency without wait, as far as it is charged.
     pub(crate) fn served_ms(&self) -> f64 {
-        self.waits.floor().min(MOST_SERVED_SHARE * self.aim_ms())
+        self.waits.floor().min(MOST_SERVED_SHARE * self.target_latency_ms())
     }
 
     /// Part of a unit's worth that is left for wait and price.
     pub(crate) fn surplus(&self) -> f64 {
-        1.0 - self.served_ms() / self.aim_ms()
+        1.0 - self.served_ms() / self.target_latency_ms()
     }
 
     /// Cost of wait and price as a share of the surplus.
     pub(crate) fn own_charge(&self, queue_wait_ms: f64) -> f64 {
-        let waiting = self.wait_ms(queue_wait_ms) / self.aim_ms();
+        let waiting = self.wait_ms(queue_wait_ms) / self.target_latency_ms();
         (waiting + self.price / self.worth) / self.surplus()
     }
 }
--- a/crates/admission/src/service.rs
+++ b/crates/admission/src/service.rs
@@ -11,15 +11,15 @@
     load: ServiceLoad,
     /// Own requests that went there since the load was told.
     since: f64,
-    known_before: Option<f64>,
+    outstanding_before: Option<f64>,
     drain_per_s: f64,
 }
 
 impl Service {
     /// Replaces the load.
     pub(crate) fn set_load(&mut self, load: ServiceLoad) {
-        let known = if load.known.is_finite() { load.known.max(0.0) } else { 0.0 };
-        self.load = ServiceLoad { known, ..load };
+        let outstanding = if load.outstanding.is_finite() { load.outstanding.max(0.0) } else { 0.0 };
+        self.load = ServiceLoad { outstanding, ..load };
         self.since = 0.0;
     }
 
@@ -49,14 +49,14 @@
     /// Time in which the service falls back to a calm occupancy, if nothing came in.
     pub(crate) fn calm_in_ms(&self, settings: &Settings) -> f64 {
         let calm = f64::from(self.load.slots) * settings.calm_occupancy;
-        self.drain_ms((self.present().known - calm).max(0.0))
+        self.drain_ms((self.present().outstanding - calm).max(0.0))
     }
 
     /// Ends a span of `seconds` in which all gatekeepers together admitted `admitted` requests.
     pub(crate) fn end_second(&mut self, admitted: f64, seconds: f64) {
-        let known = self.load.known;
-        let before = self.known_before.replace(known).unwrap_or(known);
-        let ended = (admitted - (known - before)).max(0.0) / seconds;
+        let outstanding = self.load.outstanding;
+        let before = self.outstanding_before.replace(outstanding).unwrap_or(outstanding);
+        let ended = (admitted - (outstanding - before)).max(0.0) / seconds;
         // Below its capacity a service ends what comes in, which is a lower bound only.
         let full = self.load.occupancy().is_some_and(|occupancy| occupancy >= 1.0);
         if full || ended > self.drain_per_s {
@@ -65,7 +65,7 @@
     }
 
     fn present(&self) -> ServiceLoad {
-        ServiceLoad { known: self.load.known + self.since, ..self.load }
+        ServiceLoad { outstanding: self.load.outstanding + self.since, ..self.load }
     }
 
     fn drain_ms(&self, requests: f64) -> f64 {
--- a/crates/admission/src/types.rs
+++ b/crates/admission/src/types.rs
@@ -27,13 +27,13 @@
 
 /// A route as the operator's configuration has it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RouteTerms {
+pub struct RouteConfig {
     /// Name of the route.
     pub route: String,
     /// Service whose workers take its requests.
     pub service: String,
     /// Time to the first byte of an answer that earns its full worth.
-    pub aim_ms: f64,
+    pub target_latency_ms: f64,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Longest time that a request may be held.
@@ -48,18 +48,18 @@
     /// Requests that all of them run at once.
     pub slots: u32,
     /// Requests known to run or wait there: reports, own requests, and what other gatekeepers tell.
-    pub known: f64,
+    pub outstanding: f64,
 }
 
 impl ServiceLoad {
     /// Known requests as a share of the slots; none while no slots are known.
     pub fn occupancy(&self) -> Option<f64> {
-        (self.slots > 0).then(|| self.known / f64::from(self.slots))
+        (self.slots > 0).then(|| self.outstanding / f64::from(self.slots))
     }
 
     /// Known requests beyond the slots, which wait.
     pub fn queued(&self) -> f64 {
-        (self.known - f64::from(self.slots)).max(0.0)
+        (self.outstanding - f64::from(self.slots)).max(0.0)
     }
 }
 
@@ -70,7 +70,7 @@
     pub first_byte_ms: Option<f64>,
     /// It waited for a model or an adapter to be loaded: its latency tells nothing of congestion.
     pub waited_for_load: bool,
-    /// Its worker was hung (see [`worker_hung`](crate::worker_hung)): nor does this latency.
+    /// Its worker was hung (see [`is_worker_hung`](crate::is_worker_hung)): nor does this latency.
     pub worker_hung: bool,
     /// Size of the request, in the same measure as on arrival.
     pub units: f64,
--- a/crates/admission/tests/controller.rs
+++ b/crates/admission/tests/controller.rs
@@ -2,18 +2,19 @@
 
 use googletest::prelude::*;
 use switchhill_admission::{
-    worker_hung, Controller, Decision, RouteTerms, Sample, ServiceLoad, Settings, Silence, Summary,
+    is_worker_hung, Controller, Decision, RouteConfig, Sample, ServiceLoad, Settings, Summary,
+    UnansweredAttempt,
 };
 
-const FULL: ServiceLoad = ServiceLoad { ready_workers: 4, slots: 64, known: 64.0 };
-const FREE: ServiceLoad = ServiceLoad { ready_workers: 4, slots: 64, known: 5.0 };
+const FULL: ServiceLoad = ServiceLoad { ready_workers: 4, slots: 64, outstanding: 64.0 };
+const FREE: ServiceLoad = ServiceLoad { ready_workers: 4, slots: 64, outstanding: 5.0 };
 
-fn terms(route: &str, priority: u8, aim_ms: f64) -> RouteTerms {
+fn terms(route: &str, priority: u8, target_latency_ms: f64) -> RouteConfig {
     let (route, service) = (route.to_owned(), "model".to_owned());
-    RouteTerms { route, service, aim_ms, priority, timeout_ms: 12_000.0 }
+    RouteConfig { route, service, target_latency_ms, priority, timeout_ms: 12_000.0 }
 }
 
-fn controller(routes: &[RouteTerms]) -> Controller {
+fn controller(routes: &[RouteConfig]) -> Controller {
     let mut controller = Controller::new(Settings { seed: 5, full_occupancy: 1.0, ..Settings::default() });
     controller.set_routes(0, routes);
     controller.tick(0);
@@ -35,12 +36,12 @@
 ) {
     for second in from_s..until_s {
         let now = second * 1000;
-        controller.set_service(now, "model", load);
+        controller.set_service_load(now, "model", load);
         for _ in 0..50 {
-            controller.arrived(now, route, 1000.0, 12_000.0);
-            controller.finished(now, route, sample);
+            controller.decide(now, route, 1000.0, 12_000.0);
+            controller.record_sample(now, route, sample);
         }
-        controller.set_service(now + 1000, "model", load);
+        controller.set_service_load(now + 1000, "model", load);
         controller.tick(now + 1000);
     }
 }
@@ -61,8 +62,8 @@
 fn refused(controller: &mut Controller, route: &str, size: f64, left_ms: f64) -> f64 {
     let now = 20_000;
     let refused = |controller: &mut Controller| {
-        controller.set_service(now, "model", FULL);
-        controller.arrived(now, route, size, left_ms) != Decision::Admit
+        controller.set_service_load(now, "model", FULL);
+        controller.decide(now, route, size, left_ms) != Decision::Admit
     };
     (0..1000).map(|_| f64::from(u8::from(refused(controller)))).sum::<f64>() / 1000.0
 }
@@ -90,27 +91,27 @@
 fn nothing_is_refused_without_pressure() {
     let mut jammed = after(answer(900.0));
     expect_that!(refused(&mut jammed, "live", 1000.0, 12_000.0), gt(0.5));
-    jammed.set_service(20_000, "model", FREE);
+    jammed.set_service_load(20_000, "model", FREE);
     for _ in 0..30 {
-        expect_that!(jammed.arrived(20_000, "live", 1000.0, 12_000.0), eq(Decision::Admit));
+        expect_that!(jammed.decide(20_000, "live", 1000.0, 12_000.0), eq(Decision::Admit));
     }
 }
 
 #[gtest]
 fn nothing_is_refused_while_no_slots_are_known() {
     let mut jammed = after(answer(900.0));
-    jammed.set_service(20_000, "model", ServiceLoad { slots: 0, ..FULL });
+    jammed.set_service_load(20_000, "model", ServiceLoad { slots: 0, ..FULL });
     for _ in 0..100 {
-        expect_that!(jammed.arrived(20_000, "live", 1000.0, 12_000.0), eq(Decision::Admit));
+        expect_that!(jammed.decide(20_000, "live", 1000.0, 12_000.0), eq(Decision::Admit));
     }
 }
 
 #[gtest]
 fn own_admissions_count_until_the_next_load() {
     let mut jammed = after(answer(900.0));
-    jammed.set_service(20_000, "model", FREE);
+    jammed.set_service_load(20_000, "model", FREE);
     let decisions: Vec<Decision> =
-        (0..400).map(|_| jammed.arrived(20_000, "live", 1000.0, 12_000.0)).collect();
+        (0..400).map(|_| jammed.decide(20_000, "live", 1000.0, 12_000.0)).collect();
     let first = decisions.iter().position(|decision| *decision != Decision::Admit);
     expect_that!(first, some(all![ge(52), lt(110)]), "most slots are free for 52 more");
 }
@@ -122,7 +123,7 @@
         controller.set_gatekeepers(gatekeepers);
         seconds(&mut controller, "live", 0, 10, FREE, answer(50.0));
         for second in 10..20 {
-            summary.into_iter().for_each(|told| controller.elsewhere(second * 1000, "live", told));
+            summary.into_iter().for_each(|told| controller.set_peer_summary(second * 1000, "live", told));
             seconds(&mut controller, "live", second, second + 1, FREE, answer(150.0));
         }
         price(&controller, "live")
@@ -140,7 +141,7 @@
 fn old_news_of_others_no_longer_counts() {
     let mut controller = controller(&[terms("live", 0, 400.0)]);
     controller.set_gatekeepers(2);
-    controller.elsewhere(0, "live", Summary { admitted_per_s: 1e6, delay_cost_per_s: 1e6 });
+    controller.set_peer_summary(0, "live", Summary { admitted_per_s: 1e6, delay_cost_per_s: 1e6 });
     seconds(&mut controller, "live", 0, 10, FREE, answer(50.0));
     seconds(&mut controller, "live", 10, 60, FREE, answer(150.0));
     let told_long_ago = price(&controller, "live");
@@ -154,7 +155,7 @@
         controller.set_gatekeepers(10);
         for second in 0..20 {
             if heard {
-                controller.heard(second * 1000);
+                controller.peers_heard(second * 1000);
             }
             let latency = if second < 10 { 50.0 } else { 150.0 };
             seconds(&mut controller, "live", second, second + 1, FREE, answer(latency));
@@ -242,7 +243,7 @@
 #[gtest]
 fn an_unknown_route_is_admitted() {
     let mut jammed = after(answer(900.0));
-    expect_that!(jammed.arrived(20_000, "nowhere", 1000.0, 12_000.0), eq(Decision::Admit));
+    expect_that!(jammed.decide(20_000, "nowhere", 1000.0, 12_000.0), eq(Decision::Admit));
 }
 
 #[gtest]
@@ -251,10 +252,10 @@
     let wrong = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0];
     for (second, figure) in (20..).zip(wrong) {
         let now = second * 1000;
-        jammed.set_service(now, "model", ServiceLoad { known: figure, ..FULL });
-        jammed.elsewhere(now, "live", Summary { admitted_per_s: figure, delay_cost_per_s: figure });
-        jammed.arrived(now, "live", figure, figure);
-        jammed.finished(now, "live", answer(figure));
+        jammed.set_service_load(now, "model", ServiceLoad { outstanding: figure, ..FULL });
+        jammed.set_peer_summary(now, "live", Summary { admitted_per_s: figure, delay_cost_per_s: figure });
+        jammed.decide(now, "live", figure, figure);
+        jammed.record_sample(now, "live", answer(figure));
         jammed.tick(now);
     }
     expect_that!(price(&jammed, "live").is_finite(), eq(true));
@@ -273,11 +274,18 @@
 
 #[gtest]
 fn silence_is_a_hung_worker_only_where_it_is_long_and_others_pass_or_none_is_heard() {
-    let long = Silence { age_ms: 2000.0, expected_ms: 100.0, overtaken: true, worker_heard: true };
-    expect_that!(worker_hung(long), eq(true));
-    expect_that!(worker_hung(Silence { overtaken: false, worker_heard: false, ..long }), eq(true));
-    expect_that!(worker_hung(Silence { overtaken: false, ..long }), eq(false), "a queue in turn");
-    expect_that!(worker_hung(Silence { age_ms: 500.0, ..long }), eq(false), "an ordinary wait");
+    let long = UnansweredAttempt { age_ms: 2000.0, expected_ms: 100.0, overtaken: true, worker_heard: true };
+    expect_that!(is_worker_hung(long), eq(true));
+    expect_that!(
+        is_worker_hung(UnansweredAttempt { overtaken: false, worker_heard: false, ..long }),
+        eq(true)
+    );
+    expect_that!(
+        is_worker_hung(UnansweredAttempt { overtaken: false, ..long }),
+        eq(false),
+        "a queue in turn"
+    );
+    expect_that!(is_worker_hung(UnansweredAttempt { age_ms: 500.0, ..long }), eq(false), "an ordinary wait");
 }
 
 #[gtest]
--- a/crates/admission/tests/monotone.rs
+++ b/crates/admission/tests/monotone.rs
@@ -1,26 +1,35 @@
 //! Isotonic regression against its definition.
 
 use googletest::prelude::*;
-use switchhill_admission::{non_decreasing, Weighted};
+use switchhill_admission::{isotonic_regression, WeightedValue};
 
-fn weighted(values: &[(f64, f64)]) -> Vec<Weighted> {
-    values.iter().map(|&(value, weight)| Weighted { value, weight }).collect()
+fn weighted(values: &[(f64, f64)]) -> Vec<WeightedValue> {
+    values.iter().map(|&(value, weight)| WeightedValue { value, weight }).collect()
 }
 
-fn sum<'a>(values: impl Iterator<Item = (&'a f64, &'a Weighted)>) -> f64 {
+fn sum<'a>(values: impl Iterator<Item = (&'a f64, &'a WeightedValue)>) -> f64 {
     values.map(|(value, told)| value * told.weight).sum()
 }
 
 #[gtest]
 fn an_ordered_sequence_stays() {
-    expect_that!(non_decreasing(&weighted(&[(1.0, 5.0), (1.0, 1.0), (3.0, 2.0)])), eq(&vec![1.0, 1.0, 3.0]));
-    expect_that!(non_decreasing(&[]), eq(&vec![]));
+    expect_that!(
+        isotonic_regression(&weighted(&[(1.0, 5.0), (1.0, 1.0), (3.0, 2.0)])),
+        eq(&vec![1.0, 1.0, 3.0])
+    );
+    expect_that!(isotonic_regression(&[]), eq(&vec![]));
 }
 
 #[gtest]
 fn neighbours_out_of_order_share_their_weighted_mean() {
-    expect_that!(non_decreasing(&weighted(&[(4.0, 1.0), (1.0, 2.0), (3.0, 1.0)])), eq(&vec![2.0, 2.0, 3.0]));
-    expect_that!(non_decreasing(&weighted(&[(1.0, 1.0), (9.0, 1.0), (2.0, 1.0)])), eq(&vec![1.0, 5.5, 5.5]));
+    expect_that!(
+        isotonic_regression(&weighted(&[(4.0, 1.0), (1.0, 2.0), (3.0, 1.0)])),
+        eq(&vec![2.0, 2.0, 3.0])
+    );
+    expect_that!(
+        isotonic_regression(&weighted(&[(1.0, 1.0), (9.0, 1.0), (2.0, 1.0)])),
+        eq(&vec![1.0, 5.5, 5.5])
+    );
 }
 
 #[gtest]
@@ -30,7 +39,7 @@
         let values: Vec<(f64, f64)> =
             (0..rng.usize(..12)).map(|_| (rng.f64() * 10.0, 0.01 + rng.f64())).collect();
         let told = weighted(&values);
-        let fitted = non_decreasing(&told);
+        let fitted = isotonic_regression(&told);
         expect_that!(fitted.len(), eq(told.len()), "seed {seed}");
         expect_that!(fitted.is_sorted_by(|a, b| a <= b), eq(true), "seed {seed}: {fitted:?}");
         let before: f64 = told.iter().map(|value| value.value * value.weight).sum();
--- a/crates/admission/tests/overload.rs
+++ b/crates/admission/tests/overload.rs
@@ -4,16 +4,16 @@
 
 use googletest::prelude::*;
 use simulation::{play, Fixed, Kind, Outcome, Priced, Scene, SERVICE};
-use switchhill_admission::{Decision, RouteTerms};
+use switchhill_admission::{Decision, RouteConfig};
 
 const SEEDS: std::ops::Range<u64> = 0..8;
 const BURST_FROM_MS: u64 = 20_000;
 const BURST_UNTIL_MS: u64 = 35_000;
 const UNTIL_MS: u64 = 60_000;
 
-fn kind(route: &str, priority: u8, aim_ms: f64, timeout_ms: f64, per_s: f64) -> Kind {
+fn kind(route: &str, priority: u8, target_latency_ms: f64, timeout_ms: f64, per_s: f64) -> Kind {
     let (route, service) = (route.to_owned(), SERVICE.to_owned());
-    Kind { terms: RouteTerms { route, service, aim_ms, priority, timeout_ms }, per_s }
+    Kind { terms: RouteConfig { route, service, target_latency_ms, priority, timeout_ms }, per_s }
 }
 
 /// Slots for 76 requests a second; `load` is the calm part of it.
@@ -49,12 +49,12 @@
 }
 
 fn admit_all(scene: &Scene) -> Outcome {
-    play(scene, &mut Fixed(|_: u64, _: &RouteTerms, _: f64| Decision::Admit))
+    play(scene, &mut Fixed(|_: u64, _: &RouteConfig, _: f64| Decision::Admit))
 }
 
 /// Refuses a part of the burst, by what `refuses` says of a request; a retry comes too soon to pass.
-fn refusing(scene: &Scene, refuses: impl Fn(&RouteTerms, f64) -> bool) -> Outcome {
-    let mut policy = Fixed(|now: u64, terms: &RouteTerms, size: f64| {
+fn refusing(scene: &Scene, refuses: impl Fn(&RouteConfig, f64) -> bool) -> Outcome {
+    let mut policy = Fixed(|now: u64, terms: &RouteConfig, size: f64| {
         let burst = (BURST_FROM_MS..BURST_UNTIL_MS + 1000).contains(&now);
         if burst && refuses(terms, size) {
             Decision::Refuse { retry_after_ms: 100 }
--- a/crates/admission/tests/price.rs
+++ b/crates/admission/tests/price.rs
@@ -1,7 +1,7 @@
 //! The arithmetic that both programs share.
 
 use googletest::prelude::*;
-use switchhill_admission::price::{congestion_price, delay_cost, pays, smoothed};
+use switchhill_admission::price::{congestion_price, delay_cost, exceeds_cost, smoothed};
 
 #[gtest]
 fn delay_cost_is_worth_over_aim_for_each_admitted_unit_a_second() {
@@ -31,8 +31,8 @@
 #[gtest]
 fn a_request_pays_while_its_value_exceeds_delay_and_price() {
     // Half of the aim costs half of the worth.
-    expect_that!(pays(1.0, 1.0, 400.0, 200.0, 0.49), eq(true));
-    expect_that!(pays(1.0, 1.0, 400.0, 200.0, 0.5), eq(false));
-    expect_that!(pays(1.0, 1.0, 400.0, 400.0, 0.0), eq(false));
-    expect_that!(pays(2.0, 1.0, 400.0, 400.0, 0.9), eq(true));
+    expect_that!(exceeds_cost(1.0, 1.0, 400.0, 200.0, 0.49), eq(true));
+    expect_that!(exceeds_cost(1.0, 1.0, 400.0, 200.0, 0.5), eq(false));
+    expect_that!(exceeds_cost(1.0, 1.0, 400.0, 400.0, 0.0), eq(false));
+    expect_that!(exceeds_cost(2.0, 1.0, 400.0, 400.0, 0.9), eq(true));
 }
--- a/crates/admission/tests/simulation/mod.rs
+++ b/crates/admission/tests/simulation/mod.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
-use switchhill_admission::{Controller, Decision, RouteTerms, Sample, ServiceLoad, Settings, Summary};
+use switchhill_admission::{Controller, Decision, RouteConfig, Sample, ServiceLoad, Settings, Summary};
 
 pub const SERVICE: &str = "model";
 /// Time between two reports of the workers' load.
@@ -13,7 +13,7 @@
 /// One kind of request.
 #[derive(Debug, Clone)]
 pub struct Kind {
-    pub terms: RouteTerms,
+    pub terms: RouteConfig,
     pub per_s: f64,
 }
 
@@ -50,8 +50,8 @@
 /// What decides on requests.
 pub trait Policy {
     fn load(&mut self, now: u64, load: ServiceLoad);
-    fn arrived(&mut self, now: u64, kind: &RouteTerms, size: f64, left_ms: f64) -> Decision;
-    fn finished(&mut self, now: u64, kind: &RouteTerms, first_byte_ms: Option<f64>, size: f64);
+    fn arrived(&mut self, now: u64, kind: &RouteConfig, size: f64, left_ms: f64) -> Decision;
+    fn finished(&mut self, now: u64, kind: &RouteConfig, first_byte_ms: Option<f64>, size: f64);
     fn tick(&mut self, now: u64);
 }
 
@@ -63,7 +63,7 @@
 
 impl Priced {
     pub fn new(scene: &Scene) -> Self {
-        let terms: Vec<RouteTerms> = scene.kinds.iter().map(|kind| kind.terms.clone()).collect();
+        let terms: Vec<RouteConfig> = scene.kinds.iter().map(|kind| kind.terms.clone()).collect();
         let build = |number: u32| {
             let seed = scene.seed * 1000 + u64::from(number);
             let mut controller = Controller::new(Settings { seed, ..Settings::default() });
@@ -89,7 +89,7 @@
                 sum.delay_cost_per_s += summary.delay_cost_per_s;
             }
             for (route, sum) in sums {
-                controller.elsewhere(now, route, sum);
+                controller.set_peer_summary(now, route, sum);
             }
         }
     }
@@ -98,19 +98,19 @@
 impl Policy for Priced {
     fn load(&mut self, now: u64, load: ServiceLoad) {
         for controller in &mut self.controllers {
-            controller.set_service(now, SERVICE, load);
+            controller.set_service_load(now, SERVICE, load);
         }
     }
 
-    fn arrived(&mut self, now: u64, kind: &RouteTerms, size: f64, left_ms: f64) -> Decision {
+    fn arrived(&mut self, now: u64, kind: &RouteConfig, size: f64, left_ms: f64) -> Decision {
         let at = self.rng.usize(..self.controllers.len());
-        self.controllers[at].arrived(now, &kind.route, size, left_ms)
+        self.controllers[at].decide(now, &kind.route, size, left_ms)
     }
 
-    fn finished(&mut self, now: u64, kind: &RouteTerms, first_byte_ms: Option<f64>, size: f64) {
+    fn finished(&mut self, now: u64, kind: &RouteConfig, first_byte_ms: Option<f64>, size: f64) {
         let sample = Sample { first_byte_ms, waited_for_load: false, worker_hung: false, units: size };
         let at = self.rng.usize(..self.controllers.len());
-        self.controllers[at].finished(now, &kind.route, sample);
+        self.controllers[at].record_sample(now, &kind.route, sample);
     }
 
     fn tick(&mut self, now: u64) {
@@ -124,14 +124,14 @@
 /// A policy that looks at the request alone: a counterexample that a check must notice.
 pub struct Fixed<F>(pub F);
 
-impl<F: FnMut(u64, &RouteTerms, f64) -> Decision> Policy for Fixed<F> {
+impl<F: FnMut(u64, &RouteConfig, f64) -> Decision> Policy for Fixed<F> {
     fn load(&mut self, _now: u64, _load: ServiceLoad) {}
 
-    fn arrived(&mut self, now: u64, kind: &RouteTerms, size: f64, _left_ms: f64) -> Decision {
+    fn arrived(&mut self, now: u64, kind: &RouteConfig, size: f64, _left_ms: f64) -> Decision {
         (self.0)(now, kind, size)
     }
 
-    fn finished(&mut self, _now: u64, _kind: &RouteTerms, _first_byte_ms: Option<f64>, _size: f64) {}
+    fn finished(&mut self, _now: u64, _kind: &RouteConfig, _first_byte_ms: Option<f64>, _size: f64) {}
 
     fn tick(&mut self, _now: u64) {}
 }
@@ -295,10 +295,14 @@
     }
 
     fn load(&self) -> ServiceLoad {
-        ServiceLoad { ready_workers: self.scene.workers, slots: self.scene.slots(), known: self.known() }
+        ServiceLoad {
+            ready_workers: self.scene.workers,
+            slots: self.scene.slots(),
+            outstanding: self.outstanding(),
+        }
     }
 
-    fn known(&self) -> f64 {
+    fn outstanding(&self) -> f64 {
         f64::from(self.running) + self.queue.len() as f64
     }
 
@@ -327,7 +331,7 @@
             }
             Decision::Refuse { retry_after_ms } => {
                 self.outcome.journeys[id].refusals += 1;
-                let occupancy = self.known() / f64::from(self.scene.slots());
+                let occupancy = self.outstanding() / f64::from(self.scene.slots());
                 self.outcome.occupancy_at_refusals.push(occupancy);
                 self.outcome.retries.push((left, retry_after_ms));
                 if journey.refusals == 0 {
@@ -351,7 +355,7 @@
             self.running += 1;
             let first_byte = (now - admitted + FIRST_BYTE_MS) as f64;
             self.policy.finished(now, &terms, Some(first_byte), journey.size);
-            let in_time = first_byte <= terms.aim_ms;
+            let in_time = first_byte <= terms.target_latency_ms;
             self.outcome.journeys[id].end = if in_time { End::InTime } else { End::Late };
             let hold = self.exponential(self.scene.hold_ms);
             self.at(now + FIRST_BYTE_MS + hold as u64, Event::Free);
--- a/src/data_plane/admission_stage.rs
+++ b/src/data_plane/admission_stage.rs
@@ -6,7 +6,7 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
-use switchhill_admission::{Controller, Decision, RouteTerms, Sample, ServiceLoad, Settings};
+use switchhill_admission::{Controller, Decision, RouteConfig, Sample, ServiceLoad, Settings};
 use switchhill_configuration::{Document, Route};
 use switchhill_routing::{Availability, RequestProfile, WorkerView};
 
@@ -34,7 +34,7 @@
 
     /// Takes the routes of a new configuration.
     pub(crate) fn set_document(&self, now: u64, document: &Document) {
-        let terms: Vec<RouteTerms> = document.routes().iter().map(route_terms).collect();
+        let terms: Vec<RouteConfig> = document.routes().iter().map(route_config).collect();
         self.controller.borrow_mut().set_routes(now, &terms);
     }
 
@@ -48,10 +48,10 @@
         let mut controller = self.controller.borrow_mut();
         controller.set_gatekeepers(view.gatekeepers.max(1));
         for told in view.loads.iter().flat_map(|loads| &loads.routes) {
-            controller.elsewhere(now, &told.route, told.summary);
+            controller.set_peer_summary(now, &told.route, told.summary);
         }
         for (service, load) in service_loads(workers) {
-            controller.set_service(now, service, load);
+            controller.set_service_load(now, service, load);
         }
     }
 
@@ -64,7 +64,7 @@
         time_left_ms: u64,
     ) -> Result<AdmittedRequest, u64> {
         let units = size(profile);
-        let decision = self.controller.borrow_mut().arrived(now, route, units, time_left_ms as f64);
+        let decision = self.controller.borrow_mut().decide(now, route, units, time_left_ms as f64);
         match decision {
             Decision::Refuse { retry_after_ms } => Err(retry_after_ms),
             Decision::Admit => Ok(AdmittedRequest {
@@ -118,7 +118,7 @@
             worker_hung: false,
             units: self.units,
         };
-        self.stage.controller.borrow_mut().finished(now, &self.route, sample);
+        self.stage.controller.borrow_mut().record_sample(now, &self.route, sample);
     }
 }
 
@@ -128,11 +128,11 @@
     }
 }
 
-fn route_terms(route: &Route) -> RouteTerms {
-    RouteTerms {
+fn route_config(route: &Route) -> RouteConfig {
+    RouteConfig {
         route: route.name.clone(),
         service: route.pick_service(0).to_owned(),
-        aim_ms: route.target_latency_ms as f64,
+        target_latency_ms: route.target_latency_ms as f64,
         priority: u8::try_from(route.priority).unwrap_or(u8::MAX),
         timeout_ms: route.timeout_ms as f64,
     }
@@ -157,7 +157,7 @@
         }
         load.ready_workers += 1;
         load.slots += worker.slots;
-        load.known += f64::from(worker.load_elsewhere) + f64::from(own);
+        load.outstanding += f64::from(worker.load_elsewhere) + f64::from(own);
     }
     loads
 }
--- a/src/decision_engine/price.rs
+++ b/src/decision_engine/price.rs
@@ -1,7 +1,7 @@
 //! Waits, the price that they make, and the times that it expects (DESIGN steps 1 to 4; paper 3.3 and 3.4).
 
 use super::*;
-use switchhill_admission::price::{congestion_price, delay_cost, pays, smoothed};
+use switchhill_admission::price::{congestion_price, delay_cost, exceeds_cost, smoothed};
 
 /// Weight of the newest price (alpha of Eq. 7).
 const ALPHA: f64 = 0.2;
@@ -91,7 +91,7 @@
     pub(super) fn pays(&mut self, class: usize, value: f64, expected: Millis) -> bool {
         let price = self.classes[class].price * self.load() * (0.5 + self.rng.f64());
         let told = &self.set.classes[class];
-        pays(value, told.worth, told.target_latency, expected, price)
+        exceeds_cost(value, told.worth, told.target_latency, expected, price)
     }
 
     /// What is out now against what was out when the waits at hand were measured.
