--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -1,5 +1,5 @@
-//! Every decision of the gateway: its state here, the parts that act on it in `src/brain/`. Types, events and
-//! actions are in `src/interface.rs`. A [`DecisionEngine`] has no I/O and no clock: [`DecisionEngine::handle`] takes the time.
+//! Admission, routing, retries and quotas of one gateway. The state is here, the code that acts on it in
+//! `src/decision_engine/`, the types in `src/interface.rs`. No I/O and no clock: `handle` is given the time.
 
 mod arrival;
 mod attempts;
@@ -12,32 +12,31 @@
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Share of a figure that goes in each price interval in which nothing confirms it.
-const FADE: f64 = 0.05;
-/// Answers over which a class's mean latency is taken.
-const SURE: f64 = 60.0;
-/// How often attempts that are still out are looked at.
+/// Share by which an estimate decays in each price interval without a new sample.
+const DECAY: f64 = 0.05;
+/// Responses over which a class's mean latency is averaged.
+const MEAN_SAMPLES: f64 = 60.0;
+/// Interval of the periodic check of outstanding attempts.
 const TICK: Millis = 100.0;
-/// Backends compared for one attempt.
-const FEW: usize = 8;
-/// How long it is left alone the first time; doubled up to eight times that.
-const REST: Millis = 1000.0;
-/// Further attempts earned by one admission, and the most saved up: many gateways' add up to a burst.
-const EXTRA_EARNED: f64 = 0.1;
-const EXTRA_MOST: f64 = 3.0;
-/// Share of the aim after which an attempt is looked into.
+const CANDIDATES_PER_ATTEMPT: usize = 8;
+/// First ejection time of a backend; doubled by each failed trial up to eight times this.
+const BACKOFF: Millis = 1000.0;
+/// Retry budget that an admission adds, and its maximum: the budgets of many gateways add up to a burst.
+const RETRY_TOKENS_EARNED: f64 = 0.1;
+const RETRY_TOKENS_MAX: f64 = 3.0;
+/// Share of the target latency after which an attempt is checked.
 const CHECK_SHARE: f64 = 0.3;
-/// Least chance to be inside its quota, and the first, that a customer has of whom nothing is known here.
-const UNREAD: f64 = 0.6;
-/// Slots in which a gateway remembers what it let through; each is half a meter period.
+/// Prior and least probability that a customer without local history is within its quota.
+const PRIOR_WITHIN: f64 = 0.6;
+/// Slots of a customer's local usage history; each is half a meter period.
 const SLOTS: usize = 32;
 
-/// What is known of one class: the price and what it is computed from.
+/// Price of one class and the samples it is computed from; the fields' names are stored.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
 pub struct ClassState {
     price: f64,
     mean: f64,
-    /// Mean latency without what reports tell was waiting.
+    /// Mean latency less the queueing share that load reports give.
     served: f64,
     lows: VecDeque<f64>,
     floor: f64,
@@ -48,7 +47,7 @@
     asked: f64,
 }
 
-/// A customer's local share of its quota and of its ceiling.
+/// A customer's local share of its quota and ceiling (token buckets); the fields' names are stored.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
 pub struct Customer {
     plan: usize,
@@ -68,155 +67,156 @@
 
 #[derive(Debug, Clone, Default)]
 struct Server {
-    told: Backend,
+    listed: Backend,
     ramp_from: Millis,
-    out: u32,
-    ratio: f64,
-    evidence: f64,
+    active: u32,
+    /// Mean latency, age of the oldest unanswered attempt and sum of such ages, over the usual latency.
+    slowdown: f64,
     lag: f64,
     silence: f64,
-    answered: Millis,
-    /// When the latest of what it has answered was sent.
-    reached: Millis,
-    faults: u32,
-    rest: Millis,
-    rest_until: Millis,
+    samples: f64,
+    answered_at: Millis,
+    /// Latest send time among the attempts that it has answered.
+    answered_send: Millis,
+    failures: u32,
+    backoff: Millis,
+    ejected_until: Millis,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Open {
+struct OpenRequest {
     class: usize,
     plan: usize,
     customer: u64,
     units: f64,
-    inside: bool,
-    since: Millis,
+    within_quota: bool,
+    received_at: Millis,
     deadline: Millis,
-    tries: u32,
-    most: u32,
+    attempts: u32,
+    max_attempts: u32,
     body_incomplete: bool,
-    out: u32,
+    active: u32,
     streaming: bool,
     /// Send time, zone and cell of the earliest attempt that may have run.
-    ran: Option<(Millis, u32, u32)>,
+    may_have_run: Option<(Millis, u32, u32)>,
 }
 
-/// Zone and cell of the backend that may have run a request, and which of them its key is kept in.
+/// Scope of an idempotency key, and the zone and cell of the backend that may have run its request.
 type Scope = (KeyScope, u32, u32);
 
 #[derive(Debug, Clone, Copy)]
-struct Out {
+struct Attempt {
     server: usize,
     class: usize,
     customer: u64,
-    sent: Millis,
+    sent_at: Millis,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Due {
+enum TimerKind {
     Tick,
     Subscribe,
     Check(RequestId),
     Deadline(RequestId),
 }
 
-/// One gateway's decisions.
+/// Decision engine of one gateway.
 #[derive(Debug)]
 pub struct DecisionEngine {
-    set: Settings,
+    settings: Settings,
     rng: fastrand::Rng,
     now: Millis,
     started: Option<Millis>,
     classes: Vec<ClassState>,
     customers: BTreeMap<u64, Customer>,
-    /// Share of each plan's readings that tell of use within the quota.
-    within: Vec<f64>,
+    /// Share of each plan's meter readings that were within the quota.
+    within_quota: Vec<f64>,
     servers: Vec<Server>,
     by_id: BTreeMap<BackendId, usize>,
-    open: BTreeMap<RequestId, Open>,
-    /// Requests that wait for the first of these backends to answer a probe.
-    races: Vec<(RequestId, Vec<usize>)>,
-    out: BTreeMap<(RequestId, u32), Out>,
-    timers: BTreeMap<u64, Due>,
+    open: BTreeMap<RequestId, OpenRequest>,
+    /// Requests that go to the first of these backends that answers its probe.
+    pending_probes: Vec<(RequestId, Vec<usize>)>,
+    attempts: BTreeMap<(RequestId, u32), Attempt>,
+    timers: BTreeMap<u64, TimerKind>,
     next_tag: u64,
     priced_at: Millis,
-    /// When the last event came, and the latest one after a gap of the gateway's own.
-    seen: Millis,
-    stalled: Millis,
-    extra: f64,
+    /// Time of the last event, and of the last one that followed a stall of this process.
+    last_event_at: Millis,
+    stalled_at: Millis,
+    retry_tokens: f64,
     wait: Millis,
-    /// The wait by answers alone, and attempts that went without one since the last came.
-    heard: Millis,
-    missing: f64,
-    usual_out: f64,
-    asked_list: Millis,
+    /// Mean wait of answered attempts, and time-outs since the last answer.
+    answered_wait: Millis,
+    unanswered: f64,
+    usual_load: f64,
+    list_requested_at: Millis,
     /// Admitted; refused by quota, ceiling, lack of a backend, price; since the last trace line.
-    tally: [u32; 5],
-    told_at: Millis,
+    counts: [u32; 5],
+    logged_at: Millis,
 }
 
 impl DecisionEngine {
-    /// Builds a gateway's decisions from its settings; equal seeds and events give equal actions.
+    /// Builds an engine; equal settings, seeds and events give equal actions.
     ///
     /// # Errors
-    /// Names the first setting that no gateway could work with.
-    pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
-        set.validate()?;
+    /// Names the first invalid setting.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.validate()?;
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
             now: 0.0,
             started: None,
-            classes: vec![ClassState::default(); set.classes.len()],
+            classes: vec![ClassState::default(); settings.classes.len()],
             customers: BTreeMap::new(),
-            within: vec![UNREAD; set.plans.len()],
+            within_quota: vec![PRIOR_WITHIN; settings.plans.len()],
             servers: Vec::new(),
             by_id: BTreeMap::new(),
             open: BTreeMap::new(),
-            races: Vec::new(),
-            out: BTreeMap::new(),
+            pending_probes: Vec::new(),
+            attempts: BTreeMap::new(),
             timers: BTreeMap::new(),
             next_tag: 0,
             priced_at: 0.0,
-            seen: 0.0,
-            stalled: f64::NEG_INFINITY,
-            extra: 1.0,
+            last_event_at: 0.0,
+            stalled_at: f64::NEG_INFINITY,
+            retry_tokens: 1.0,
             wait: 0.0,
-            heard: 0.0,
-            missing: 0.0,
-            usual_out: 0.0,
-            asked_list: f64::NEG_INFINITY,
-            tally: [0; 5],
-            told_at: 0.0,
-            set,
+            answered_wait: 0.0,
+            unanswered: 0.0,
+            usual_load: 0.0,
+            list_requested_at: f64::NEG_INFINITY,
+            counts: [0; 5],
+            logged_at: 0.0,
+            settings,
         })
     }
 
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event, act: &mut Vec<Action>) {
-        // A clock that steps back must not undo what was granted.
+        // A clock that steps back must not take back what was granted.
         self.now = if now.is_finite() { now.max(self.now) } else { self.now };
-        // Danger: a gateway that stood still, longer than a tick, finds all at once: that tells no latency.
-        if self.now - self.seen > 2.5 * TICK {
-            self.stalled = self.now;
+        // After a stall of the process, longer than a tick, outcomes come at once: they measure no latency.
+        if self.now - self.last_event_at > 2.5 * TICK {
+            self.stalled_at = self.now;
         }
-        self.seen = self.now;
+        self.last_event_at = self.now;
         if self.started.is_none() {
             self.started = Some(self.now);
             self.priced_at = self.now;
-            self.remind(Due::Tick, TICK, act);
-            act.extend(self.set.must_subscribe.then_some(Action::Subscribe));
+            self.set_timer(TimerKind::Tick, TICK, act);
+            act.extend(self.settings.must_subscribe.then_some(Action::Subscribe));
         }
         match event {
-            Event::List { kind, backends } => self.list(kind, backends, act),
-            Event::Request(request) => self.request(&request, act),
-            Event::BodyComplete { request, budget } => self.whole(request, budget, act),
+            Event::List { kind, backends } => self.on_list(kind, backends, act),
+            Event::Request(request) => self.on_request(&request, act),
+            Event::BodyComplete { request, budget } => self.on_body_complete(request, budget, act),
             Event::ResponseStarted { request, .. } => {
                 self.open.get_mut(&request).into_iter().for_each(|open| open.streaming = true);
             }
-            Event::Outcome(outcome) => self.outcome(&outcome, act),
-            Event::ClientGone(id) => self.end(id, act),
-            Event::Timer(tag) => self.timer(tag, act),
-            Event::Probed { backend, code, .. } => self.probed(&backend, code, act),
+            Event::Outcome(outcome) => self.on_outcome(&outcome, act),
+            Event::ClientGone(id) => self.finish(id, act),
+            Event::Timer(tag) => self.on_timer(tag, act),
+            Event::Probed { backend, code, .. } => self.on_probe_result(&backend, code, act),
             Event::Counted { .. } | Event::Peer { .. } => {}
         }
     }
--- a/src/decision_engine/attempts.rs
+++ b/src/decision_engine/attempts.rs
@@ -1,44 +1,44 @@
-//! Attempts and their ends, up to the final answer.
+//! Attempts, their outcomes and the final answer.
 
 use super::*;
 
-/// A race pays where the wait, as a share of the aim, is above this many times the price of one probe.
-const RACE: f64 = 4.0;
+/// Least wait for which two backends are probed, as a multiple of the probe price times the target latency.
+const PROBE_GAIN: f64 = 4.0;
 
 impl DecisionEngine {
-    /// Sends a first attempt; where it would wait long, to that one of two which answers a probe first.
-    pub(super) fn race(&mut self, id: RequestId, first: usize, act: &mut Vec<Action>) {
-        // Danger: with little out of its own, a gateway cannot tell busy backends from idle ones; probes can.
-        let ready = self.servers.iter().filter(|s| self.may_take(s)).count().max(1) as f64;
-        let blind = (1.0 + FEW as f64 * self.usual_out / ready).powi(-2);
-        let worth =
-            RACE * self.set.limits.probe_price * self.set.classes[self.open[&id].class].target_latency;
-        let pays = self.wait > worth && self.rng.f64() < blind;
-        let second = if self.set.limits.may_probe && pays { self.choose(None, Some(first)) } else { None };
+    /// Sends the first attempt; if the wait is long, to the first of two backends to answer a probe.
+    pub(super) fn send_first(&mut self, id: RequestId, first: usize, act: &mut Vec<Action>) {
+        // A gateway with few requests of its own cannot tell busy backends from idle ones; probes can.
+        let ready = self.servers.iter().filter(|s| self.is_available(s)).count().max(1) as f64;
+        let blindness = (1.0 + CANDIDATES_PER_ATTEMPT as f64 * self.usual_load / ready).powi(-2);
+        let limits = &self.settings.limits;
+        let target_latency = self.settings.classes[self.open[&id].class].target_latency;
+        let pays = self.wait > PROBE_GAIN * limits.probe_price * target_latency && self.rng.f64() < blindness;
+        let second = if limits.may_probe && pays { self.choose(None, Some(first)) } else { None };
         let warm = |i: usize| self.warmth(&self.servers[i]) >= 1.0;
         match second.filter(|&second| second != first && warm(first) && warm(second)) {
             Some(second) => {
-                act.extend([first, second].map(|i| Action::Probe(self.servers[i].told.id.clone())));
-                self.races.push((id, vec![first, second]));
+                act.extend([first, second].map(|i| Action::Probe(self.servers[i].listed.id.clone())));
+                self.pending_probes.push((id, vec![first, second]));
             }
             None => self.send(id, first, act),
         }
     }
 
-    /// A probe's end settles the oldest race that waits for it; the last to fail settles it by its code.
-    pub(super) fn probed(&mut self, backend: &str, code: Code, act: &mut Vec<Action>) {
+    /// Settles the oldest request that waits for this probe; if both probes fail, the last code decides.
+    pub(super) fn on_probe_result(&mut self, backend: &str, code: Code, act: &mut Vec<Action>) {
         let Some(&index) = self.by_id.get(backend) else { return };
-        let Some(at) = self.races.iter().position(|race| race.1.contains(&index)) else { return };
-        let id = self.races[at].0;
-        let able = code == Code::Success && self.may_take(&self.servers[index]);
-        self.races[at].1.retain(|&i| i != index);
-        if !able && !self.races[at].1.is_empty() {
+        let Some(at) = self.pending_probes.iter().position(|p| p.1.contains(&index)) else { return };
+        let id = self.pending_probes[at].0;
+        let usable = code == Code::Success && self.is_available(&self.servers[index]);
+        self.pending_probes[at].1.retain(|&i| i != index);
+        if !usable && !self.pending_probes[at].1.is_empty() {
             return;
         }
-        self.races.remove(at);
-        // Danger: in a jam a third backend is as full, and what is sent there keeps all of them full.
-        let jam = !able && matches!(code, Code::TimedOut | Code::Overloaded);
-        match able.then_some(index).or_else(|| self.choose(None, Some(index)).filter(|_| !jam)) {
+        self.pending_probes.remove(at);
+        // In an overload a third backend is as full, and sending there would keep all of them full.
+        let overload = !usable && matches!(code, Code::TimedOut | Code::Overloaded);
+        match usable.then_some(index).or_else(|| self.choose(None, Some(index)).filter(|_| !overload)) {
             Some(index) if self.open.contains_key(&id) => self.send(id, index, act),
             _ => self.give_up(id, act),
         }
@@ -47,17 +47,16 @@
     fn send(&mut self, id: RequestId, index: usize, act: &mut Vec<Action>) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let (class, customer) = (open.class, open.customer);
-        let told = &self.set.classes[class];
-        // An answer that earns nothing is not worth the backend's work: stop waiting at the aim.
-        let useful =
-            if told.late_value > 0.0 { f64::INFINITY } else { open.since + told.target_latency - 5.0 };
-        let last = open.deadline.min(useful);
-        let timeout = (last - self.now).max(1.0).min(open.deadline - self.now);
-        let sent = if open.body_incomplete { f64::INFINITY } else { self.now };
-        self.out.insert((id, open.tries), Out { server: index, class, customer, sent });
-        open.tries += 1;
-        open.out += 1;
-        let max_concurrent = self.set.plans[open.plan].max_concurrent;
+        let Class { target_latency, late_value, .. } = self.settings.classes[class];
+        // A late answer without value is not worth the backend's work: the attempt times out at the target.
+        let useful = if late_value > 0.0 { f64::INFINITY } else { open.received_at + target_latency - 5.0 };
+        let latest = open.deadline.min(useful);
+        let timeout = (latest - self.now).max(1.0).min(open.deadline - self.now);
+        let sent_at = if open.body_incomplete { f64::INFINITY } else { self.now };
+        self.attempts.insert((id, open.attempts), Attempt { server: index, class, customer, sent_at });
+        open.attempts += 1;
+        open.active += 1;
+        let max_concurrent = self.settings.plans[open.plan].max_concurrent;
         if let Some(customer) = self.customers.get_mut(&customer) {
             customer.out += 1.0;
             if max_concurrent > 0.0 {
@@ -65,161 +64,159 @@
             }
         }
         let server = &mut self.servers[index];
-        server.out += 1;
-        if server.doubted() {
-            server.rest = (server.rest * 2.0).min(REST * 8.0);
-            server.rest_until = self.now + server.rest;
+        server.active += 1;
+        if server.is_ejected() {
+            server.backoff = (server.backoff * 2.0).min(BACKOFF * 8.0);
+            server.ejected_until = self.now + server.backoff;
         }
-        act.push(Action::Attempt { request: id, backend: server.told.id.clone(), timeout });
+        act.push(Action::Attempt { request: id, backend: server.listed.id.clone(), timeout });
     }
 
-    pub(super) fn outcome(&mut self, told: &Outcome, act: &mut Vec<Action>) {
-        // Stale or repeated news of an attempt changes nothing but the end of its request.
-        let Some(out) = self.out.remove(&(told.request, told.attempt)) else {
-            if told.finished {
-                self.end(told.request, act);
+    pub(super) fn on_outcome(&mut self, outcome: &Outcome, act: &mut Vec<Action>) {
+        // A stale or duplicate outcome has no effect, except that it may end its request.
+        let Some(attempt) = self.attempts.remove(&(outcome.request, outcome.attempt)) else {
+            if outcome.finished {
+                self.finish(outcome.request, act);
             }
             return;
         };
-        let elapsed = self.now - out.sent;
-        self.servers[out.server].out = self.servers[out.server].out.saturating_sub(1);
-        self.judge(&out, told.code, elapsed, act);
-        // Danger: what a backend in doubt holds or lets time out tells of that backend, not of waiting.
-        let tells = self.tells(out.server);
-        let sound = told.code == Code::TimedOut && tells && !self.overtaken(&out);
-        let age = elapsed - self.classes[out.class].floor;
-        let wait = self.silent_wait(out.class, age, self.missing + 1.0);
-        // A reset, or silence that outlasts all waiting, earns one more attempt; a jam earns none.
-        let silent = matches!(told.code, Code::TimedOut | Code::Cancelled) && wait < age;
-        if told.code == Code::Reset || silent && self.set.limits.may_duplicate {
-            self.extra = (self.extra + 1.0).min(EXTRA_MOST);
+        let elapsed = self.now - attempt.sent_at;
+        self.servers[attempt.server].active = self.servers[attempt.server].active.saturating_sub(1);
+        self.observe(&attempt, outcome.code, elapsed, act);
+        // A time-out at an ejected or cold backend says something about that backend, not about queueing.
+        let representative = self.is_representative(attempt.server);
+        let counts = outcome.code == Code::TimedOut && representative && !self.overtaken(&attempt);
+        let age = elapsed - self.classes[attempt.class].floor;
+        let wait = self.unanswered_wait(attempt.class, age, self.unanswered + 1.0);
+        // A reset, or silence longer than queueing explains, earns one more attempt; an overload earns none.
+        let silent = matches!(outcome.code, Code::TimedOut | Code::Cancelled) && wait < age;
+        if outcome.code == Code::Reset || silent && self.settings.limits.may_duplicate {
+            self.retry_tokens = (self.retry_tokens + 1.0).min(RETRY_TOKENS_MAX);
         }
-        if sound && self.stalled < self.now {
-            self.missing += 1.0;
-            self.classes[out.class].waits += wait;
-            self.classes[out.class].answers += 1.0;
-        } else if told.code == Code::Success && self.stalled < self.now && tells {
-            let queued = self.queued(told.report.as_deref());
-            let class = &mut self.classes[out.class];
-            class.known = (class.known + 1.0).min(SURE);
+        if counts && self.stalled_at < self.now {
+            self.unanswered += 1.0;
+            self.classes[attempt.class].waits += wait;
+            self.classes[attempt.class].answers += 1.0;
+        } else if outcome.code == Code::Success && self.stalled_at < self.now && representative {
+            let queued = self.queued_share(outcome.report.as_deref());
+            let class = &mut self.classes[attempt.class];
+            class.known = (class.known + 1.0).min(MEAN_SAMPLES);
             class.mean += (elapsed - class.mean) / class.known;
             class.served += (elapsed * (1.0 - queued) - class.served) / class.known;
-            if class.known < SURE {
+            if class.known < MEAN_SAMPLES {
                 class.floor = class.served;
             }
             class.waits += elapsed - class.floor;
             class.answers += 1.0;
-            self.heard += (elapsed - class.floor - self.heard) * 0.1;
-            self.missing = 0.0;
+            self.answered_wait += (elapsed - class.floor - self.answered_wait) * 0.1;
+            self.unanswered = 0.0;
         }
-        if let Some(customer) = self.customers.get_mut(&out.customer) {
+        if let Some(customer) = self.customers.get_mut(&attempt.customer) {
             customer.out = (customer.out - 1.0).max(0.0);
-            if let Some(usage) = told.usage.filter(|u| u.is_finite() && *u >= 0.0) {
+            if let Some(usage) = outcome.usage.filter(|u| u.is_finite() && *u >= 0.0) {
                 (customer.reading, customer.read_at) = (usage / 100.0, self.now);
-                let within = &mut self.within[customer.plan];
-                *within += (f64::from(u8::from(usage <= 100.0)) - *within) * FADE;
-            } else if told.code == Code::Success {
+                let within = &mut self.within_quota[customer.plan];
+                *within += (f64::from(u8::from(usage <= 100.0)) - *within) * DECAY;
+            } else if outcome.code == Code::Success {
                 customer.blind_at = self.now;
             }
         }
-        let Some(open) = self.open.get_mut(&told.request) else { return };
-        open.out = open.out.saturating_sub(1);
-        if told.finished || told.code == Code::Success {
-            // Units told only with the answer: the difference is settled with the local store.
-            let settled = told.settled_units.filter(|units| units.is_finite() && open.inside);
-            if let (Some(units), Some(customer)) = (settled, self.customers.get_mut(&out.customer)) {
+        let Some(open) = self.open.get_mut(&outcome.request) else { return };
+        open.active = open.active.saturating_sub(1);
+        if outcome.finished || outcome.code == Code::Success {
+            // The actual units come with the answer: the local bucket is corrected by the difference.
+            let settled = outcome.settled_units.filter(|units| units.is_finite() && open.within_quota);
+            if let (Some(units), Some(customer)) = (settled, self.customers.get_mut(&attempt.customer)) {
                 customer.store += open.units - units;
             }
-            return self.end(told.request, act);
+            return self.finish(outcome.request, act);
         }
-        let proven = matches!(told.code, Code::Overloaded | Code::Unreachable | Code::NotSent);
-        let server = &self.servers[out.server];
-        if !proven && open.ran.is_none_or(|(sent, ..)| sent > out.sent) {
-            open.ran = Some((out.sent, server.told.zone, server.told.cell));
+        let not_run = matches!(outcome.code, Code::Overloaded | Code::Unreachable | Code::NotSent);
+        let server = &self.servers[attempt.server];
+        if !not_run && open.may_have_run.is_none_or(|(first, ..)| first > attempt.sent_at) {
+            open.may_have_run = Some((attempt.sent_at, server.listed.zone, server.listed.cell));
         }
-        if open.out == 0 && !open.streaming && !self.further(told.request, out.server, act) {
-            self.give_up(told.request, act);
+        if open.active == 0 && !open.streaming && !self.retry(outcome.request, attempt.server, act) {
+            self.give_up(outcome.request, act);
         }
     }
 
-    /// Sends a further attempt if the effect, the budget, the time and the price allow one.
-    fn further(&mut self, id: RequestId, but: usize, act: &mut Vec<Action>) -> bool {
+    /// Sends another attempt if the effect, the retry budget, the deadline and the price allow it.
+    fn retry(&mut self, id: RequestId, except: usize, act: &mut Vec<Action>) -> bool {
         let Some(open) = self.open.get(&id).cloned() else { return false };
-        let told = self.set.classes[open.class].clone();
-        // What is still out may run as well.
-        let still = self.out.range((id, 0)..=(id, u32::MAX)).map(|(_, o)| {
+        let class = self.settings.classes[open.class].clone();
+        // Attempts that are still outstanding may run as well.
+        let outstanding = self.attempts.range((id, 0)..=(id, u32::MAX)).map(|(_, o)| {
             let s = &self.servers[o.server];
-            (o.sent, s.told.zone, s.told.cell)
+            (o.sent_at, s.listed.zone, s.listed.cell)
         });
-        let ran = open.ran.into_iter().chain(still).min_by(|a, b| a.0.total_cmp(&b.0));
-        // Danger: a key that is forgotten on the way runs twice; a tenth is kept as margin.
-        let kept = |sent: Millis, window: Millis| self.now - sent <= 0.9 * window;
-        let scope = match (ran, told.effect) {
+        let ran = open.may_have_run.into_iter().chain(outstanding).min_by(|a, b| a.0.total_cmp(&b.0));
+        // A key that expires before the attempt arrives would run twice: a tenth of the window is the margin.
+        let key_kept = |sent: Millis, window: Millis| self.now - sent <= 0.9 * window;
+        let scope = match (ran, class.effect) {
             (None, _) | (_, Effect::Safe) => None,
-            (Some((sent, zone, cell)), Effect::Keyed { scope, window }) if kept(sent, window) => {
+            (Some((sent, zone, cell)), Effect::Keyed { scope, window }) if key_kept(sent, window) => {
                 Some((scope, zone, cell))
             }
             _ => return false,
         };
-        if open.tries >= open.most || self.extra < 1.0 || self.now >= open.deadline {
+        if open.attempts >= open.max_attempts || self.retry_tokens < 1.0 || self.now >= open.deadline {
             return false;
         }
-        let Some(server) = self.choose(scope, Some(but)) else { return false };
-        let expected = self.expected(open.class, server);
-        let late = self.now + expected - open.since > told.target_latency;
-        let value = told.worth * self.set.plans[open.plan].price * if late { told.late_value } else { 1.0 };
+        let Some(server) = self.choose(scope, Some(except)) else { return false };
+        let expected = self.latency_at(open.class, server);
+        let late = self.now + expected - open.received_at > class.target_latency;
+        let price = self.settings.plans[open.plan].price;
+        let value = class.worth * price * if late { class.late_value } else { 1.0 };
         if !self.pays(open.class, value, expected) {
             return false;
         }
-        self.extra -= 1.0;
+        self.retry_tokens -= 1.0;
         self.send(id, server, act);
         true
     }
 
-    /// When a refused client should come back: soon enough for another try within the aim.
+    /// Delay after which a refused client should retry: short enough for a retry within the target latency.
     pub(super) fn hold_off(&self, class: usize) -> Millis {
-        self.set.limits.max_hold_off.min(self.set.classes[class].target_latency / 4.0)
+        self.settings.limits.max_hold_off.min(self.settings.classes[class].target_latency / 4.0)
     }
 
-    /// The final answer for a request with nothing out: refused when trying again is harmless, else failed.
+    /// Final answer to a request without outstanding attempts: refused if a retry is harmless, else failed.
     fn give_up(&mut self, id: RequestId, act: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
-        let harmless = open.ran.is_none() && open.out == 0;
-        let refused = harmless || self.set.classes[open.class].effect == Effect::Safe;
-        let refusal = Action::Refuse {
-            request: id,
-            hold_off: self.hold_off(open.class),
-            reason: RefusalReason::AttemptsExhausted,
-        };
+        let harmless = open.may_have_run.is_none() && open.active == 0;
+        let refused = harmless || self.settings.classes[open.class].effect == Effect::Safe;
+        let (hold_off, reason) = (self.hold_off(open.class), RefusalReason::AttemptsExhausted);
+        let refusal = Action::Refuse { request: id, hold_off, reason };
         act.push(if refused { refusal } else { Action::Fail(id) });
-        self.end(id, act);
+        self.finish(id, act);
     }
 
-    /// Forgets a request that has had its answer and calls off what is still out for it.
-    pub(super) fn end(&mut self, id: RequestId, act: &mut Vec<Action>) {
-        self.races.retain(|race| race.0 != id);
-        if self.open.remove(&id).is_some() && self.set.limits.may_cancel {
-            let out = self.out.range((id, 0)..=(id, u32::MAX));
-            act.extend(out.map(|(key, _)| Action::Cancel { request: id, attempt: key.1 }));
+    /// Removes an answered request and cancels its outstanding attempts.
+    pub(super) fn finish(&mut self, id: RequestId, act: &mut Vec<Action>) {
+        self.pending_probes.retain(|probes| probes.0 != id);
+        if self.open.remove(&id).is_some() && self.settings.limits.may_cancel {
+            let attempts = self.attempts.range((id, 0)..=(id, u32::MAX));
+            act.extend(attempts.map(|(key, _)| Action::Cancel { request: id, attempt: key.1 }));
         }
     }
 
-    /// Looks into an attempt that takes long: heavy work is left alone, silence is acted on.
-    pub(super) fn look_into(&mut self, id: RequestId, act: &mut Vec<Action>) {
+    /// Checks a slow attempt: one whose backend answers others is left alone, a silent backend's is retried.
+    pub(super) fn check_attempt(&mut self, id: RequestId, act: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
-        let (class, single) = (open.class, open.out == 1 && !open.streaming);
-        let held = self.out.range((id, 0)..=(id, u32::MAX)).next().filter(|_| single);
-        let Some((attempt, out)) = held.map(|(key, out)| (key.1, *out)) else { return };
-        let silent = self.servers[out.server].answered <= out.sent || self.overtaken(&out);
-        if silent && self.now - out.sent > 2.0 * self.typical(class) {
-            if self.set.limits.may_duplicate {
-                if self.further(id, out.server, act) {
+        let (class, single) = (open.class, open.active == 1 && !open.streaming);
+        let only = self.attempts.range((id, 0)..=(id, u32::MAX)).next().filter(|_| single);
+        let Some((number, attempt)) = only.map(|(key, attempt)| (key.1, *attempt)) else { return };
+        let silent = self.servers[attempt.server].answered_at <= attempt.sent_at || self.overtaken(&attempt);
+        if silent && self.now - attempt.sent_at > 2.0 * self.typical_latency(class) {
+            if self.settings.limits.may_duplicate {
+                if self.retry(id, attempt.server, act) {
                     return;
                 }
-            } else if self.set.limits.may_cancel && self.extra >= 1.0 {
-                act.push(Action::Cancel { request: id, attempt });
+            } else if self.settings.limits.may_cancel && self.retry_tokens >= 1.0 {
+                act.push(Action::Cancel { request: id, attempt: number });
             }
         }
-        self.remind(Due::Check(id), self.set.classes[class].target_latency * CHECK_SHARE, act);
+        self.set_timer(TimerKind::Check(id), self.settings.classes[class].target_latency * CHECK_SHARE, act);
     }
 }
--- a/src/decision_engine/snapshot.rs
+++ b/src/decision_engine/snapshot.rs
@@ -1,12 +1,12 @@
-//! What others may read of the module's state, and what outlives a process. No decision is taken here.
+//! State of the decision engine that outlives a process or a change of settings. No decision is taken here.
 
 use super::{ClassState, Customer, DecisionEngine};
 use crate::interface::{Millis, Settings, SettingsError};
 use serde::{Deserialize, Serialize};
 use switchhill_recovery::Use;
 
-/// What a brain has learnt, for one that goes on in its place. Classes and plans stand in the order of the
-/// settings it was learnt under; times are those of the clock that both are told.
+/// State that an engine hands over to its successor. Classes and plans are in the order of the settings that it
+/// was measured under; times are those of the clock that both engines are given. Field names are stored.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct EngineSnapshot {
     started: Option<Millis>,
@@ -34,12 +34,12 @@
 }
 
 impl EngineSnapshot {
-    /// Leaves of it what may be used; what is left may be the stricter for it, never the looser.
+    /// Drops the parts that may not be used; the rest may become stricter by that, never looser.
     pub fn keep(&mut self, slices: Use, prices: Use, evidence: Use) {
         match slices {
             Use::Whole => {}
-            // Danger: a share or a reading of before may be far from what the others use now. The floor and an empty
-            // bucket's filling are all that is kept.
+            // An old share or reading may be far from what the other gateways use now: only the least share and
+            // the fill levels of the buckets are kept.
             Use::AsBound => {
                 self.started = None;
                 for (_, customer) in &mut self.customers {
@@ -63,42 +63,42 @@
 }
 
 impl DecisionEngine {
-    /// Goes on under other settings. `classes` and `plans` tell, for each of the present settings', its position in
-    /// the new ones under its name. `held` marks classes that must stay for others' sake. What open requests came
-    /// under, and the new settings drop or change, stands behind the new ones until they are over.
+    /// Replaces the settings. `classes` and `plans` map each present position to the one in the new settings that
+    /// has the same name. `held` marks classes that callers still refer to. Classes and plans of open requests that
+    /// the new settings drop or change are kept behind the new ones until those requests have ended.
     ///
-    /// Returns the new position of each class that stays.
+    /// Returns the new position of each class that is kept.
     ///
     /// # Errors
-    /// Names the first setting that no gateway could work with; then nothing has changed.
+    /// Names the first invalid setting; then nothing has changed.
     pub fn reconfigure(
         &mut self,
-        mut set: Settings,
+        mut settings: Settings,
         classes: &[Option<usize>],
         plans: &[Option<usize>],
         held: &[bool],
     ) -> Result<Vec<Option<usize>>, SettingsError> {
-        set.validate()?;
-        let named_plans = set.plans.len();
+        settings.validate()?;
+        let named_plans = settings.plans.len();
         let class_used = |n: usize| {
             held.get(n).copied().unwrap_or(false)
                 || self.open.values().any(|open| open.class == n)
-                || self.out.values().any(|out| out.class == n)
+                || self.attempts.values().any(|attempt| attempt.class == n)
         };
         let plan_used = |n: usize| self.open.values().any(|open| open.plan == n);
-        let mut states = vec![ClassState::default(); set.classes.len()];
-        let mut within = vec![super::UNREAD; named_plans];
-        let old = (&self.set.classes[..], &self.classes[..]);
-        let class_at = carry_over(old, (&mut set.classes, &mut states), classes, class_used);
-        let old = (&self.set.plans[..], &self.within[..]);
-        let plan_at = carry_over(old, (&mut set.plans, &mut within), plans, plan_used);
-        // Every index below is in use, so it has a place.
+        let mut states = vec![ClassState::default(); settings.classes.len()];
+        let mut within = vec![super::PRIOR_WITHIN; named_plans];
+        let old = (&self.settings.classes[..], &self.classes[..]);
+        let class_at = carry_over(old, (&mut settings.classes, &mut states), classes, class_used);
+        let old = (&self.settings.plans[..], &self.within_quota[..]);
+        let plan_at = carry_over(old, (&mut settings.plans, &mut within), plans, plan_used);
+        // Every index below is in use, so it has a new position.
         for open in self.open.values_mut() {
             open.class = class_at[open.class].unwrap_or(0);
             open.plan = plan_at[open.plan].unwrap_or(0);
         }
-        self.out.values_mut().for_each(|out| out.class = class_at[out.class].unwrap_or(0));
-        // A customer's own plan is the one its name has now; without one it is a new customer when it comes back.
+        self.attempts.values_mut().for_each(|attempt| attempt.class = class_at[attempt.class].unwrap_or(0));
+        // A customer stays if its plan's name is in the new settings; otherwise it starts anew.
         self.customers.retain(|_, customer| match plans.get(customer.plan).copied().flatten() {
             Some(plan) if plan < named_plans => {
                 customer.plan = plan;
@@ -106,115 +106,118 @@
             }
             _ => false,
         });
-        (self.classes, self.within, self.set) = (states, within, set);
+        (self.classes, self.within_quota, self.settings) = (states, within, settings);
         Ok(class_at)
     }
 
-    /// Whether it gives a backend single tries at the most, since its attempts came to nothing.
+    /// Whether a backend is ejected after failed attempts: it gets single trial requests at most.
     #[must_use]
     pub fn is_ejected(&self, backend: &str) -> bool {
-        self.by_id.get(backend).is_some_and(|&index| self.servers[index].doubted())
+        self.by_id.get(backend).is_some_and(|&index| self.servers[index].is_ejected())
     }
 
-    /// What it has learnt; of the customers, the `most` that were seen last.
+    /// State to hand over, with the `max_customers` that were seen last.
     #[must_use]
-    pub fn snapshot(&self, most: usize) -> EngineSnapshot {
+    pub fn snapshot(&self, max_customers: usize) -> EngineSnapshot {
         let mut customers: Vec<(u64, Customer)> = self
             .customers
             .iter()
             .map(|(id, customer)| (*id, Customer { out: 0.0, ..customer.clone() }))
             .collect();
-        if customers.len() > most {
+        if customers.len() > max_customers {
             customers.sort_by(|a, b| b.1.filled.total_cmp(&a.1.filled));
-            customers.truncate(most);
+            customers.truncate(max_customers);
         }
         let host = |(id, index): (&crate::interface::BackendId, &usize)| {
             let server = &self.servers[*index];
             Host {
                 id: id.to_string(),
-                born: server.told.started_at,
+                born: server.listed.started_at,
                 ramp_from: server.ramp_from,
-                ratio: server.ratio,
-                evidence: server.evidence,
-                faults: server.faults,
-                rest: server.rest,
-                rest_until: server.rest_until,
+                ratio: server.slowdown,
+                evidence: server.samples,
+                faults: server.failures,
+                rest: server.backoff,
+                rest_until: server.ejected_until,
             }
         };
         EngineSnapshot {
             started: self.started,
             classes: self.classes.clone(),
-            within: self.within.clone(),
+            within: self.within_quota.clone(),
             customers,
             hosts: self.by_id.iter().map(host).collect(),
-            extra: self.extra,
+            extra: self.retry_tokens,
             wait: self.wait,
-            heard: self.heard,
-            missing: self.missing,
-            usual_out: self.usual_out,
+            heard: self.answered_wait,
+            missing: self.unanswered,
+            usual_out: self.usual_load,
         }
     }
 
-    /// Goes on from what another has learnt. `classes` and `plans` tell, for each of that one's, its position in
-    /// the settings here. What is known here already of hosts that have started since stays.
-    pub fn restore(&mut self, learnt: EngineSnapshot, classes: &[Option<usize>], plans: &[Option<usize>]) {
-        self.started = [self.started, learnt.started].into_iter().flatten().reduce(f64::min);
-        let priced = !learnt.classes.is_empty();
-        for (state, here) in learnt.classes.into_iter().zip(classes) {
+    /// Takes over a predecessor's state. `classes` and `plans` map its positions to those in the settings here.
+    /// Backends that have started since the snapshot keep the state that they have here.
+    pub fn restore(&mut self, snapshot: EngineSnapshot, classes: &[Option<usize>], plans: &[Option<usize>]) {
+        self.started = [self.started, snapshot.started].into_iter().flatten().reduce(f64::min);
+        let priced = !snapshot.classes.is_empty();
+        for (state, here) in snapshot.classes.into_iter().zip(classes) {
             if let Some(class) = here.and_then(|here| self.classes.get_mut(here)) {
                 *class = state;
             }
         }
-        for (within, here) in learnt.within.into_iter().zip(plans) {
-            if let Some(own) = here.and_then(|here| self.within.get_mut(here)) {
+        for (within, here) in snapshot.within.into_iter().zip(plans) {
+            if let Some(own) = here.and_then(|here| self.within_quota.get_mut(here)) {
                 *own = within;
             }
         }
-        for (id, customer) in learnt.customers {
-            // A customer whose plan is no more is a new one.
-            if let Some(plan) = plans.get(customer.plan).copied().flatten().filter(|p| *p < self.within.len())
+        for (id, customer) in snapshot.customers {
+            // A customer whose plan was removed starts anew.
+            if let Some(plan) =
+                plans.get(customer.plan).copied().flatten().filter(|p| *p < self.within_quota.len())
             {
                 self.customers.insert(id, Customer { plan, out: 0.0, ..customer });
             }
         }
-        for host in learnt.hosts {
+        for host in snapshot.hosts {
             let Some(&index) = self.by_id.get(host.id.as_str()) else { continue };
             let server = &mut self.servers[index];
-            if server.told.started_at <= host.born {
+            if server.listed.started_at <= host.born {
                 server.ramp_from = server.ramp_from.max(host.ramp_from);
-                (server.ratio, server.evidence) = (host.ratio, host.evidence);
-                (server.faults, server.rest, server.rest_until) = (host.faults, host.rest, host.rest_until);
+                (server.slowdown, server.samples) = (host.ratio, host.evidence);
+                (server.failures, server.backoff, server.ejected_until) =
+                    (host.faults, host.rest, host.rest_until);
             }
         }
-        // Without its prices the rest of what the load was is none of this one's either.
+        // Without the prices the other load estimates do not apply either.
         if priced {
-            (self.extra, self.wait, self.heard) = (learnt.extra, learnt.wait, learnt.heard);
-            (self.missing, self.usual_out) = (learnt.missing, learnt.usual_out);
+            (self.retry_tokens, self.wait, self.answered_wait) =
+                (snapshot.extra, snapshot.wait, snapshot.heard);
+            (self.unanswered, self.usual_load) = (snapshot.missing, snapshot.usual_out);
         }
     }
 }
 
-/// Takes what was learnt under old rules over to the new ones of the same name, and keeps old rules that are in
-/// use and dropped or changed behind the new ones. Tells where each of the old stands now.
+/// Carries the state of old rules (classes or plans) over to the new ones of the same name. Old rules that are in
+/// use, and dropped or changed, are appended. Returns the new position of each old rule.
 fn carry_over<R: Clone + PartialEq, S: Clone>(
     (old_rules, old): (&[R], &[S]),
-    (rules, learnt): (&mut Vec<R>, &mut Vec<S>),
+    (rules, states): (&mut Vec<R>, &mut Vec<S>),
     named: &[Option<usize>],
     used: impl Fn(usize) -> bool,
 ) -> Vec<Option<usize>> {
     let count = rules.len();
-    let place = |(n, (rule, own)): (usize, (&R, &S))| {
+    let position = |(n, (rule, own)): (usize, (&R, &S))| {
         let named = named.get(n).copied().flatten().filter(|at| *at < count);
         if let Some(at) = named {
-            learnt[at] = own.clone();
+            states[at] = own.clone();
         }
         named.filter(|at| rules[*at] == *rule).or_else(|| {
             used(n).then(|| {
                 rules.push(rule.clone());
-                learnt.push(own.clone());
+                states.push(own.clone());
                 rules.len() - 1
             })
         })
     };
-    old_rules.iter().zip(old).enumerate().map(place).collect()
+    old_rules.iter().zip(old).enumerate().map(position).collect()
 }
--- a/src/decision_engine/timers.rs
+++ b/src/decision_engine/timers.rs
@@ -1,93 +1,90 @@
-//! Timers and the regular work.
+//! Timers and periodic work.
 
 use super::*;
 
-/// How often prices are computed anew (t_c of the paper).
-const PRICE_EVERY: Millis = 300.0;
-/// How often on-call staff are told what was admitted and refused, and why.
-const TELL_EVERY: Millis = 5000.0;
-/// Silence, as the sum of what is out over the usual latency, that puts a backend in doubt.
-const SILENCE: f64 = 10.0;
-/// A client that has been away this long is forgotten, and so is one that came but once.
-const FORGET: Millis = 60_000.0;
-const FORGET_ONCE: Millis = 10_000.0;
+/// Interval between two computations of the prices (t_c of the paper).
+const PRICE_INTERVAL: Millis = 300.0;
+const LOG_INTERVAL: Millis = 5000.0;
+/// Silence that ejects a backend: the sum of its unanswered attempts' ages over the usual latency.
+const SILENCE_LIMIT: f64 = 10.0;
+/// Time without requests after which a customer's state is dropped, and that of one seen only once.
+const CUSTOMER_TTL: Millis = 60_000.0;
+const ONE_TIME_TTL: Millis = 10_000.0;
 
 impl DecisionEngine {
-    pub(super) fn remind(&mut self, due: Due, delay: Millis, act: &mut Vec<Action>) {
+    pub(super) fn set_timer(&mut self, kind: TimerKind, delay: Millis, act: &mut Vec<Action>) {
         self.next_tag += 1;
-        self.timers.insert(self.next_tag, due);
+        self.timers.insert(self.next_tag, kind);
         act.push(Action::Timer { tag: self.next_tag, delay });
     }
 
-    /// Whether a timer still matters. One whose request is over is forgotten, so nobody need wake up for it.
+    /// Whether a timer is still needed. One whose request has ended is removed, which saves a wake-up.
     pub fn timer_is_live(&mut self, tag: u64) -> bool {
-        let wanted = match self.timers.get(&tag) {
-            Some(Due::Check(id) | Due::Deadline(id)) => self.open.contains_key(id),
-            due => due.is_some(),
+        let live = match self.timers.get(&tag) {
+            Some(TimerKind::Check(id) | TimerKind::Deadline(id)) => self.open.contains_key(id),
+            kind => kind.is_some(),
         };
-        if !wanted {
+        if !live {
             self.timers.remove(&tag);
         }
-        wanted
+        live
     }
 
-    pub(super) fn timer(&mut self, tag: u64, act: &mut Vec<Action>) {
+    pub(super) fn on_timer(&mut self, tag: u64, act: &mut Vec<Action>) {
         match self.timers.remove(&tag) {
-            Some(Due::Tick) => {
-                if self.stalled < self.now {
+            Some(TimerKind::Tick) => {
+                if self.stalled_at < self.now {
                     self.tick(act);
                 }
-                self.remind(Due::Tick, TICK, act);
+                self.set_timer(TimerKind::Tick, TICK, act);
             }
-            Some(Due::Subscribe) => {
-                act.push(if self.set.must_subscribe { Action::Subscribe } else { Action::ReadList })
+            Some(TimerKind::Subscribe) => {
+                act.push(if self.settings.must_subscribe { Action::Subscribe } else { Action::ReadList })
             }
-            Some(Due::Check(id)) => self.look_into(id, act),
-            Some(Due::Deadline(id)) if self.open.get(&id).is_some_and(|open| !open.streaming) => {
+            Some(TimerKind::Check(id)) => self.check_attempt(id, act),
+            Some(TimerKind::Deadline(id)) if self.open.get(&id).is_some_and(|open| !open.streaming) => {
                 act.push(Action::Fail(id));
-                self.end(id, act);
+                self.finish(id, act);
             }
-            Some(Due::Deadline(_)) | None => {}
+            Some(TimerKind::Deadline(_)) | None => {}
         }
     }
 
     fn tick(&mut self, act: &mut Vec<Action>) {
-        // How unlikely its silence is of each backend: ages of what was sent since its last answer, as
-        // multiples of the usual latency.
         self.servers.iter_mut().for_each(|s| (s.lag, s.silence) = (0.0, 0.0));
-        for out in self.out.values() {
-            let known = self.classes[out.class].known > 0.0;
-            let typical = if known { self.classes[out.class].mean } else { self.typical(out.class) };
-            let server = &mut self.servers[out.server];
-            if server.answered <= out.sent {
-                let age = ((self.now - out.sent) / typical.max(1.0)).max(0.0);
+        for &Attempt { server, class, sent_at, .. } in self.attempts.values() {
+            let known = self.classes[class].known > 0.0;
+            let typical = if known { self.classes[class].mean } else { self.typical_latency(class) };
+            let server = &mut self.servers[server];
+            if server.answered_at <= sent_at {
+                let age = ((self.now - sent_at) / typical.max(1.0)).max(0.0);
                 server.lag = server.lag.max(age);
                 server.silence += age;
             }
         }
         for index in 0..self.servers.len() {
-            if self.servers[index].silence > SILENCE && !self.servers[index].doubted() {
-                self.put_to_rest(index, act);
+            if self.servers[index].silence > SILENCE_LIMIT && !self.servers[index].is_ejected() {
+                self.eject(index, act);
             }
         }
-        if self.now - self.told_at >= TELL_EVERY {
-            self.told_at = self.now;
-            let [admitted, quota, ceiling, backend, price] = std::mem::take(&mut self.tally);
-            let figure = |c: &ClassState| format!("{:.0}/{:.0} ms at {:.2}", c.floor, c.mean, c.price);
-            let figures = self.classes.iter().map(figure).collect::<Vec<_>>().join(", ");
-            let out = self.out.len();
+        if self.now - self.logged_at >= LOG_INTERVAL {
+            self.logged_at = self.now;
+            let [admitted, quota, ceiling, backend, price] = std::mem::take(&mut self.counts);
+            let describe = |c: &ClassState| format!("{:.0}/{:.0} ms at {:.2}", c.floor, c.mean, c.price);
+            let classes = self.classes.iter().map(describe).collect::<Vec<_>>().join(", ");
+            let active = self.attempts.len();
             act.push(Action::Trace(format!(
                 "admitted {admitted}; refused by quota {quota}, ceiling {ceiling}, no backend {backend}, \
-                 price {price}; out {out}; floor/mean at price: {figures}"
+                 price {price}; active {active}; floor/mean at price: {classes}"
             )));
         }
-        self.usual_out += (self.sound_out() - self.usual_out) * 0.1;
-        if self.now - self.priced_at >= PRICE_EVERY - 1.0 {
+        self.usual_load += (self.healthy_load() - self.usual_load) * 0.1;
+        if self.now - self.priced_at >= PRICE_INTERVAL - 1.0 {
             self.reprice();
             let now = self.now;
             self.customers.retain(|_, c| {
                 let once = c.past.iter().sum::<f64>() <= 1.0;
-                c.out > 0.0 || now - c.filled < if once { FORGET_ONCE } else { FORGET }
+                c.out > 0.0 || now - c.filled < if once { ONE_TIME_TTL } else { CUSTOMER_TTL }
             });
         }
     }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -175,7 +175,8 @@
         driver.request(request(n));
         driver.outcome(n, 0, Code::Failure);
     }
-    let rested = driver.log.iter().filter(|(_, a)| matches!(a, Action::Trace(t) if t.starts_with("resting")));
+    let rested =
+        driver.log.iter().filter(|(_, a)| matches!(a, Action::Trace(t) if t.starts_with("ejecting")));
     assert!((1..=4).contains(&rested.count()));
 }
 
@@ -614,7 +615,7 @@
 }
 
 fn rested(driver: &Driver) -> bool {
-    driver.log.iter().any(|(_, a)| matches!(a, Action::Trace(line) if line.starts_with("resting")))
+    driver.log.iter().any(|(_, a)| matches!(a, Action::Trace(line) if line.starts_with("ejecting")))
 }
 
 #[test]
@@ -671,7 +672,7 @@
     assert!(sent(&driver.request(upload)).is_some());
     driver.log.clear();
     driver.advance(driver.now + 60_000.0);
-    let told = |action: &Action| matches!(action, Action::Trace(line) if line.contains("resting"));
+    let told = |action: &Action| matches!(action, Action::Trace(line) if line.contains("ejecting"));
     assert!(!driver.log.iter().any(|(_, action)| told(action) || matches!(action, Action::Fail(_))));
     driver.event(Event::BodyComplete { request: RequestId(100), budget: 2000.0 });
     driver.advance(driver.now + 60.0);
