--- a/src/decision_engine/servers.rs
+++ b/src/decision_engine/servers.rs
@@ -4,7 +4,7 @@
 
 /// Gateways that share a backend in a large fleet: more even out the load, fewer get more samples of each.
 const SHARED_BY: f64 = 20.0;
-/// Time after which a started backend that chance left unused is used; gateways are spread over half of it.
+/// Time after which a started backend that chance left unused is used; gateways follow half of it apart.
 const FIRST_USE: Millis = 1500.0;
 /// Golden ratio: fractional parts of its multiples spread evenly on a ring, whichever ordinals are missing.
 const GOLDEN: f64 = 0.618_033_988_749_894_9;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,42 +1,43 @@
-//! The module's whole surface: settings handed over at start, events in, actions out.
+//! Interface of the decision engine: settings at the start, events in, actions out.
 //!
-//! All times are milliseconds on one clock that only advances; where it starts does not matter.
+//! All times are milliseconds on one monotonic clock with any origin.
 
 use std::sync::Arc;
 
 /// A point in time or a span, in milliseconds.
 pub type Millis = f64;
-/// A backend's name, given back exactly as it was told.
+/// A backend's name, returned exactly as it was given.
 pub type BackendId = Arc<str>;
+
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// It is none that the settings know, or there already.
+    /// Its class or plan is unknown, a figure is out of range, or its id is in use.
     Invalid,
-    /// Its customer's quota or ceiling leaves no room, and use beyond it earns nothing.
+    /// Its customer's quota or ceiling is used up, and usage beyond it has no value.
     Quota,
-    /// No backend may be sent to.
+    /// No backend is available.
     NoBackend,
-    /// Its worth does not pay for what it would cost others.
+    /// Its worth is less than its delay cost and the congestion price.
     Price,
-    /// Its attempts came to nothing, and trying again is harmless.
+    /// All attempts failed, and a retry is harmless.
     AttemptsExhausted,
 }
 
-/// Identifies one try of a client; never used twice.
+/// Identifies one request of a client; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// What may follow an attempt that might have run.
+/// Whether a request may be sent again after an attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// May be repeated freely.
+    /// Idempotent: may be repeated at any time.
     Safe,
-    /// Carries an idempotency key that a group of backends remembers for a while.
+    /// Carries an idempotency key that a group of backends remembers for a time.
     Keyed {
-        /// The backends that drop a repeat.
+        /// The backends that discard a repeat.
         scope: KeyScope,
-        /// For how long, from the send of the earliest attempt that may have run.
+        /// How long, counted from the send time of the earliest attempt that may have run.
         window: Millis,
     },
     /// Must not run twice.
@@ -54,92 +55,92 @@
     Cell,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Worth of one unit answered within the aim.
+    /// Worth of one unit that is answered within the target latency.
     pub worth: f64,
-    /// An answer within this time earns the full worth.
+    /// Latency up to which an answer has its full worth.
     pub target_latency: Millis,
-    /// Share of the worth that a later answer earns.
+    /// Share of the worth that a later answer has.
     pub late_value: f64,
-    /// What may follow an attempt that might have run.
+    /// Whether a request may be sent again after an attempt that may have run.
     pub effect: Effect,
 }
 
-/// A plan: quotas and prices that hold for each of its customers over all gateways together.
+/// A customer plan: quota and price of each of its customers over all gateways together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Multiplies the worth.
+    /// Factor on the worth of a request.
     pub price: f64,
     /// Quota in units a second; 0 for none.
     pub rate: f64,
-    /// The most units of the quota that can be used at once.
+    /// Depth of the quota's token bucket, in units.
     pub burst: f64,
-    /// The most attempts out at once inside the quota; 0 for no such quota.
+    /// Concurrent attempts within the quota; 0 for no such limit.
     pub max_concurrent: f64,
-    /// Share of the worth that use beyond the quota earns when served.
+    /// Share of the worth that served usage beyond the quota has.
     pub overage_value: f64,
-    /// Share of the worth that use beyond the quota costs when sent on.
+    /// Share of the worth that usage beyond the quota costs when it is sent on.
     pub overage_cost: f64,
     /// Hard ceiling in units a second; 0 for none.
     pub ceiling_rate: f64,
-    /// The most units under the ceiling at once.
+    /// Depth of the ceiling's token bucket, in units.
     pub ceiling_depth: f64,
 }
 
-/// Figures of the rules that backends' starts and drains must keep.
+/// Limits on the load of a backend after its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ColdStartRules {
-    /// Least share of its capacity with which a backend starts.
+    /// Share of its capacity that a backend has at its start.
     pub cold_share: f64,
-    /// A started backend is warm by then.
+    /// Time from a backend's start to its full capacity.
     pub warm_up: Millis,
-    /// A cold backend falls over when it gets more than this multiple of what it can do ...
+    /// A cold backend fails when its load exceeds its present capacity by more than this factor ...
     pub overload_multiple: f64,
-    /// ... over a span of this length.
+    /// ... over a window of this length.
     pub overload_window: Millis,
 }
 
 /// What the deployment permits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// The most attempts that one request may have.
+    /// Maximum attempts of one request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be out together.
+    /// Two attempts of one request may be outstanding at a time.
     pub may_duplicate: bool,
     /// Backends may be probed.
     pub may_probe: bool,
-    /// What one probe for each first try takes off the result, as a share of it; 0 where probes are free.
+    /// Cost of one probe per request, as a share of the total value; 0 if probes are free.
     pub probe_price: f64,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// The longest hold-off that a client honours; 0 when clients are not told.
+    /// Longest hold-off that clients honour; 0 if they are not sent one.
     pub max_hold_off: Millis,
     /// The usage counter may be called.
     pub may_count: bool,
 }
 
-/// Which values a load report carries, in order.
+/// A value of a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportField {
     /// Requests in progress.
     Concurrent,
     /// Requests waiting.
     Queued,
-    /// Share of the processors in use.
+    /// CPU utilisation.
     Utilisation,
-    /// Recent service time, without waiting.
+    /// Recent service time, without queueing.
     ServiceTime,
     /// Requests served a second.
     Throughput,
     /// Errors a second.
     Errors,
-    /// Something else.
+    /// A value that is not used.
     Other,
 }
 
-/// When backends tell their load.
+/// When backends report their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportMode {
     /// With every answer.
@@ -150,39 +151,39 @@
     Never,
 }
 
-/// What a gateway is told at its start.
+/// Settings of a gateway's decision engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateways: u32,
-    /// This gateway's number among them, from 0.
+    /// Index of this gateway among them, from 0.
     pub ordinal: u32,
-    /// The zone of this gateway.
+    /// Zone of this gateway.
     pub zone: u32,
-    /// The classes; a request names its position here.
+    /// Request classes; a request refers to one by its index.
     pub classes: Vec<Class>,
-    /// The plans; a request names its customer's position here.
+    /// Customer plans; a request refers to its customer's by its index.
     pub plans: Vec<Plan>,
-    /// Rules about cold backends.
+    /// Limits on the load of cold backends.
     pub cold_start: ColdStartRules,
-    /// What is permitted.
+    /// What the deployment permits.
     pub limits: Limits,
-    /// Values of a load report.
+    /// Values of a load report, in order.
     pub report_fields: Vec<ReportField>,
-    /// When backends tell their load.
+    /// When backends report their load.
     pub report_mode: ReportMode,
-    /// The period over which the meter sums use; 0 for no meter.
+    /// Period over which the meter sums usage; 0 for no meter.
     pub meter_period: Millis,
-    /// The most units that a request counts.
+    /// Maximum units of one request.
     pub max_units: f64,
-    /// News of backends must be subscribed to.
+    /// Discovery sends changes of the list only to subscribers.
     pub must_subscribe: bool,
 }
 
-/// Settings that no gateway can work with.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field at fault.
+    /// The invalid field.
     pub field: String,
     /// What is wrong with it.
     pub problem: &'static str,
@@ -197,10 +198,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks that every figure is one that a gateway can work with.
+    /// Checks that every figure is in its range.
     ///
     /// # Errors
-    /// Names the first field that is not.
+    /// Names the first field that is invalid.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let check = |ok: bool, field: String, problem| {
             if ok {
@@ -249,64 +250,64 @@
     }
 }
 
-/// How far a backend's life has come, as the list tells it.
+/// State of a backend, as service discovery lists it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum BackendState {
     /// Takes requests.
     #[default]
     Ready,
-    /// Finishes what it has; nothing new may be sent.
+    /// Finishes its requests; no new ones may be sent.
     Draining,
-    /// Withdrawn.
+    /// No longer listed or terminated.
     Removed,
 }
 
-/// One entry of the list.
+/// One entry of the backend list.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Backend {
-    /// Its name.
+    /// Name.
     pub id: BackendId,
-    /// Its zone.
+    /// Zone.
     pub zone: u32,
-    /// Its cell: backends that share which keys they have seen.
+    /// Cell: backends that share the idempotency keys they have seen.
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Readiness.
     pub state: BackendState,
-    /// Its size against the others'.
+    /// Capacity relative to the other backends.
     pub rating: f64,
-    /// When it last started; 0 for long ago.
+    /// Time of its last start; 0 if that was long ago.
     pub started_at: Millis,
 }
 
-/// How a list event is to be read.
+/// How the entries of a list event apply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what changed.
+    /// Changed entries only.
     Changes,
-    /// Everything; what is absent is gone.
+    /// The complete list; absent backends are removed.
     Full,
-    /// Everything as it was last known before a start; may be out of date.
+    /// The complete list as it was before a restart; may be out of date.
     Saved,
-    /// Nothing came; the list held so far stays.
+    /// Discovery failed; the present list stays.
     Failed,
 }
 
-/// How an attempt, probe or counter call ended.
+/// Result of an attempt, a probe or a counter call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Code {
     /// Served.
     Success,
     /// The backend answered with an error.
     Failure,
-    /// Turned away unseen.
+    /// Rejected before processing.
     Overloaded,
     /// No answer in time.
     TimedOut,
-    /// No connection.
+    /// No connection could be made.
     Unreachable,
-    /// The connection was lost while it was out.
+    /// The connection was lost before the response.
     Reset,
-    /// Called off.
+    /// Cancelled by the gateway.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -314,72 +315,72 @@
     Unknown,
 }
 
-/// A client's try.
+/// A client's request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Identifier.
     pub id: RequestId,
-    /// Position of its class in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Position of its customer's plan in the settings.
+    /// Index of its customer's plan in the settings.
     pub plan: usize,
-    /// Which customer.
+    /// Identifier of its customer.
     pub customer: u64,
-    /// Through how many gateways this customer's requests come in.
+    /// Number of gateways that receive this customer's requests.
     pub entry_points: u32,
-    /// The client waits this long.
+    /// How long the client waits.
     pub budget: Millis,
-    /// What it takes from the quota.
+    /// Units that it takes from the quota.
     pub units: f64,
-    /// The client has asked before.
+    /// It is a client's retry.
     pub is_retry: bool,
-    /// Its last byte has not come: time, and that of its attempts, counts from [`Event::BodyComplete`].
+    /// Its last byte has not arrived: its deadline and its attempts' latency count from [`Event::BodyComplete`].
     pub body_incomplete: bool,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
     /// The request it belongs to.
     pub request: RequestId,
-    /// Its number within the request, from 0.
+    /// Index of the attempt within the request, from 0.
     pub attempt: u32,
-    /// Where it went.
+    /// The backend it was sent to.
     pub backend: BackendId,
-    /// How it ended.
+    /// Result.
     pub code: Code,
-    /// The request has had its final answer.
+    /// The client has received the final answer to the request.
     pub finished: bool,
     /// Time since it was sent.
     pub elapsed: Millis,
-    /// True units of the request, when they are settled afterwards.
+    /// Actual units of the request, if they are known only afterwards.
     pub settled_units: Option<f64>,
-    /// The customer's metered use in percent of its quota, over all gateways, in a past period.
+    /// The customer's metered usage in percent of its quota, over all gateways, in a past period.
     pub usage: Option<f64>,
     /// A load report.
     pub report: Option<Vec<f64>>,
 }
 
-/// What a gateway hears.
+/// Input of the decision engine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the backends.
+    /// An update of the backend list.
     List {
-        /// How to read it.
+        /// How the entries apply.
         kind: ListKind,
         /// The entries.
         backends: Vec<Backend>,
     },
-    /// A client's try has come in.
+    /// A client's request has arrived.
     Request(Request),
-    /// The last byte of a request has come that came in with `body_incomplete`.
+    /// The last byte of a request that arrived with `body_incomplete` has arrived.
     BodyComplete {
         /// The request.
         request: RequestId,
-        /// The client waits this long from now on.
+        /// How long the client waits from now on.
         budget: Millis,
     },
-    /// An attempt's answer has begun to stream; it belongs to the client now.
+    /// An attempt's response has begun to stream to the client.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -388,7 +389,7 @@
     },
     /// An attempt has ended.
     Outcome(Outcome),
-    /// The client has left; no answer is owed any more.
+    /// The client has disconnected; no answer is needed.
     ClientGone(RequestId),
     /// A timer is due.
     Timer(u64),
@@ -403,25 +404,25 @@
         /// A load report.
         report: Option<Vec<f64>>,
     },
-    /// The counter's answer to one call.
+    /// Result of one call of the usage counter.
     Counted {
-        /// The count's name.
+        /// Name of the count.
         name: u64,
         /// How the call ended.
         code: Code,
         /// The total.
         reading: f64,
     },
-    /// Another gateway's message.
+    /// A message from another gateway.
     Peer {
-        /// Its number.
+        /// Index of that gateway.
         from: u32,
-        /// What it says.
+        /// The message.
         body: Vec<u8>,
     },
 }
 
-/// What a gateway does.
+/// Output of the decision engine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a request to a backend.
@@ -430,39 +431,39 @@
         request: RequestId,
         /// The backend.
         backend: BackendId,
-        /// Give up waiting after this long.
+        /// Time after which the attempt is abandoned.
         timeout: Millis,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// The attempt's number.
+        /// Index of the attempt.
         attempt: u32,
     },
-    /// Final answer: not served, and trying again is harmless.
+    /// Final answer: not served, and a retry is harmless.
     Refuse {
         /// The request.
         request: RequestId,
-        /// The client had better wait this long; 0 says nothing.
+        /// Delay before a retry that the client is told; 0 for none.
         hold_off: Millis,
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Final answer: failed, and the request may have run.
     Fail(RequestId),
-    /// Wake me.
+    /// Start a timer.
     Timer {
-        /// Given back with the event.
+        /// Returned with the timer's event.
         tag: u64,
-        /// After this long.
+        /// Time until the timer is due.
         delay: Millis,
     },
-    /// Check a backend.
+    /// Probe a backend.
     Probe(BackendId),
-    /// Ask discovery to send changes.
+    /// Subscribe to changes at discovery.
     Subscribe,
-    /// Ask discovery for the whole list.
+    /// Read the complete list from discovery.
     ReadList,
     /// Close idle connections to a backend.
     CloseIdle(BackendId),
@@ -470,18 +471,18 @@
     Count {
         /// Its name.
         name: u64,
-        /// What to add.
+        /// The amount.
         amount: f64,
-        /// How long a new name lives.
+        /// How long a new count is kept.
         lifetime: Millis,
     },
-    /// Send bytes to one gateway, or to all.
+    /// Send a message to one gateway, or to all.
     SendToPeer {
-        /// The gateway's number; none for all.
+        /// Index of the gateway; `None` for all.
         to: Option<u32>,
-        /// The bytes.
+        /// The message.
         body: Vec<u8>,
     },
-    /// One line for on-call staff.
+    /// Write a log line.
     Trace(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! A quota-keeping gateway: its decisions as a sans-I/O state machine, and the program around them.
+//! A gateway that keeps quotas: its decisions as a sans-I/O state machine, and the program around them.
 //!
-//! The decisions: a [`DecisionEngine`] is built from [`interface::Settings`] and a seed. It is then told what happens, with
-//! the time, and appends what is to be done. It reads no clock, opens no socket and keeps no globals.
+//! A [`DecisionEngine`] is built from [`interface::Settings`] and a seed. It is given events with their time and
+//! appends actions. It reads no clock, opens no socket and has no global state.
 //!
 //! ```
 //! use switchhill::interface::*;
@@ -22,7 +22,12 @@
 //!         ceiling_rate: 0.0,
 //!         ceiling_depth: 0.0,
 //!     }],
-//!     cold_start: ColdStartRules { cold_share: 0.2, warm_up: 10_000.0, overload_multiple: 3.0, overload_window: 1000.0 },
+//!     cold_start: ColdStartRules {
+//!         cold_share: 0.2,
+//!         warm_up: 10_000.0,
+//!         overload_multiple: 3.0,
+//!         overload_window: 1000.0,
+//!     },
 //!     limits: Limits {
 //!         max_attempts: 3,
 //!         may_duplicate: true,
