--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -7,30 +7,30 @@
 use crate::types::{Decision, RouteConfig, Sample, ServiceLoad, Settings, Summary};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Half the spread of a request's worth around its route's: clients differ in what an answer is worth, and a
-/// price between refuses a part instead of all or none.
-const SPREAD: f64 = 0.5;
-/// Share of the requests that is admitted at any price: without samples no price would fall again.
-const SAMPLED: f64 = 0.1;
-/// Weight of a route that nobody asked for lately.
+/// Half the range of a request's worth around its route's: the worth of an answer differs between clients, and
+/// a price within the range refuses a share instead of all or none.
+const WORTH_SPREAD: f64 = 0.5;
+/// Share of the requests that is admitted at any price: without samples a price would never fall again.
+const SAMPLED_SHARE: f64 = 0.1;
+/// Weight of a route without recent requests.
 const IDLE_WEIGHT: f64 = 1e-6;
 /// Shortest time between two computations of charges outside of ticks.
-const RECHARGE_MS: u64 = 100;
-/// Part of the time left that a refused client may be asked to wait.
-const MOST_RETRY_SHARE: f64 = 1.0 / 3.0;
-/// Shortest retry delay, as a share of the aim: a refusal holds for longer than the present burst of arrivals.
-const LEAST_RETRY_SHARE: f64 = 0.25;
-/// Part of a retry delay that is drawn, so that those refused together do not come back together.
-const RETRY_SPREAD: f64 = 0.4;
+const CHARGE_INTERVAL_MS: u64 = 100;
+/// Maximum retry delay, as a share of the client's remaining time.
+const MAX_RETRY_SHARE: f64 = 1.0 / 3.0;
+/// Minimum retry delay, as a share of the target latency: it has to outlast the present burst of arrivals.
+const MIN_RETRY_SHARE: f64 = 0.25;
+/// Random share of a retry delay, so that requests refused together are not retried together.
+const RETRY_JITTER: f64 = 0.4;
 
-/// Gap between two inputs that only a process which stood still leaves: ticks come each second.
-const STALL_MS: u64 = 1500;
-/// Time after a stall in which latencies are left out: what came meanwhile is found all at once.
-const STALL_LASTS_MS: u64 = 1000;
-/// Age beyond which what others told no longer counts.
-const HEARD_FOR_MS: u64 = 5000;
+/// Gap between two inputs that shows a stall of the process, since ticks come each second.
+const STALL_GAP_MS: u64 = 1500;
+/// Time after a stall in which latencies are ignored: answers that arrived meanwhile are read all at once.
+const STALL_RECOVERY_MS: u64 = 1000;
+/// Maximum age of other gatekeepers' summaries.
+const PEER_TTL_MS: u64 = 5000;
 
-/// Services and routes of one gatekeeper, their prices, and the admission test.
+/// Admission controller of one gatekeeper: its services and routes with their prices, and the admission test.
 #[derive(Debug)]
 pub struct Controller {
     settings: Settings,
@@ -38,17 +38,17 @@
     gatekeepers: u32,
     routes: BTreeMap<String, Route>,
     services: BTreeMap<String, Service>,
-    recharged_at: BTreeMap<String, u64>,
+    charged_at: BTreeMap<String, u64>,
     ticked_at: Option<u64>,
-    /// When others were last heard.
-    heard_at: Option<u64>,
-    /// When the last input came, and until when a stall is felt.
-    seen_at: u64,
+    /// When other gatekeepers were last heard.
+    peers_heard_at: Option<u64>,
+    /// Time of the last input, and the end of the period that follows a stall.
+    last_input_at: u64,
     stalled_until: u64,
 }
 
 impl Controller {
-    /// A controller without routes; equal settings and inputs give equal decisions.
+    /// Creates a controller without routes; equal settings and inputs give equal decisions.
     pub fn new(settings: Settings) -> Self {
         Self {
             rng: fastrand::Rng::with_seed(settings.seed),
@@ -56,83 +56,84 @@
             gatekeepers: 1,
             routes: BTreeMap::new(),
             services: BTreeMap::new(),
-            recharged_at: BTreeMap::new(),
+            charged_at: BTreeMap::new(),
             ticked_at: None,
-            heard_at: None,
-            seen_at: 0,
+            peers_heard_at: None,
+            last_input_at: 0,
             stalled_until: 0,
         }
     }
 
-    /// Replaces the routes; one that stays keeps its price and what was measured, also under other terms.
-    pub fn set_routes(&mut self, _now: u64, terms: &[RouteConfig]) {
+    /// Replaces the routes. A route that stays keeps its price and samples, even if its configuration changes.
+    pub fn set_routes(&mut self, _now: u64, configs: &[RouteConfig]) {
         let mut before = std::mem::take(&mut self.routes);
-        for told in terms {
-            let mut route = before.remove(&told.route).unwrap_or_else(|| Route::new(told.clone()));
-            route.terms = told.clone();
-            self.routes.insert(told.route.clone(), route);
+        for config in configs {
+            let mut route = before.remove(&config.route).unwrap_or_else(|| Route::new(config.clone()));
+            route.config = config.clone();
+            self.routes.insert(config.route.clone(), route);
         }
-        for told in terms {
-            self.services.entry(told.service.clone()).or_default();
+        for config in configs {
+            self.services.entry(config.service.clone()).or_default();
         }
-        let used: BTreeSet<&str> = terms.iter().map(|t| t.service.as_str()).collect();
+        let used: BTreeSet<&str> = configs.iter().map(|config| config.service.as_str()).collect();
         self.services.retain(|name, _| used.contains(name.as_str()));
-        self.recharged_at.retain(|name, _| used.contains(name.as_str()));
-        self.rank();
+        self.charged_at.retain(|name, _| used.contains(name.as_str()));
+        self.update_ranks();
     }
 
-    /// Says how many gatekeepers share the arrivals.
+    /// Sets the number of gatekeepers that share the arrivals.
     pub fn set_gatekeepers(&mut self, gatekeepers: u32) {
         self.gatekeepers = gatekeepers.max(1);
     }
 
-    /// Replaces a service's load; the more often, the sooner a burst is met.
-    /// A service that no route names is ignored.
+    /// Replaces a service's load. The more often this is called, the sooner a burst is throttled. A service that no
+    /// route names is ignored.
     pub fn set_service_load(&mut self, now: u64, service: &str, load: ServiceLoad) {
-        self.note(now);
-        let Some(known) = self.services.get_mut(service) else { return };
-        known.set_load(load);
-        let last = self.recharged_at.get(service).copied();
-        if last.is_none_or(|last| now.saturating_sub(last) >= RECHARGE_MS) {
-            self.recharge(now, service);
+        self.record_input(now);
+        let Some(state) = self.services.get_mut(service) else { return };
+        state.set_load(load);
+        let last = self.charged_at.get(service).copied();
+        if last.is_none_or(|last| now.saturating_sub(last) >= CHARGE_INTERVAL_MS) {
+            self.update_charges(now, service);
         }
     }
 
-    /// Decides on a request of this size (tokens, say) whose client waits `time_left_ms` more. A request of an
-    /// unknown route is admitted: routing has an answer for it.
+    /// Decides on a request of this size (e.g. in tokens) whose client waits `time_left_ms` more. A request of an
+    /// unknown route is admitted, since routing answers it.
     pub fn decide(&mut self, now: u64, route: &str, size: f64, time_left_ms: f64) -> Decision {
-        self.note(now);
+        self.record_input(now);
         let Some(route) = self.routes.get_mut(route) else { return Decision::Admit };
-        let Some(service) = self.services.get_mut(&route.terms.service) else { return Decision::Admit };
+        let Some(service) = self.services.get_mut(&route.config.service) else { return Decision::Admit };
         let units = route.sizes.units(size);
-        route.ask(units);
+        route.count_arrival(units);
         let pressure = service.pressure(&self.settings);
         if pressure <= 0.0 {
-            route.admit(units);
+            route.count_admission(units);
             service.admit();
             return Decision::Admit;
         }
         let wait = route.wait_ms(service.queue_wait_ms());
-        let sampled = self.rng.f64() < SAMPLED;
-        let draw = 1.0 + SPREAD * (2.0 * self.rng.f64() - 1.0);
-        let in_vain = route.waits.floor() + wait > time_left_ms;
-        if sampled || !in_vain && pays(route, units, draw, wait, pressure) {
-            route.admit(units);
+        let sampled = self.rng.f64() < SAMPLED_SHARE;
+        let draw = 1.0 + WORTH_SPREAD * (2.0 * self.rng.f64() - 1.0);
+        let too_late = route.waits.floor() + wait > time_left_ms;
+        if sampled || !too_late && is_worth_charge(route, units, draw, wait, pressure) {
+            route.count_admission(units);
             service.admit();
             return Decision::Admit;
         }
-        let calm_in =
-            service.calm_in_ms(&self.settings).max(fall_ms(route.charge * pressure, self.settings.alpha));
-        let wanted = calm_in.max(LEAST_RETRY_SHARE * route.target_latency_ms());
-        let longest = (time_left_ms * MOST_RETRY_SHARE).max(0.0);
-        let delay = wanted.min(longest) * (1.0 - RETRY_SPREAD * self.rng.f64());
+        let time_to_calm = service
+            .time_to_calm_ms(&self.settings)
+            .max(decay_ms(route.charge * pressure, self.settings.alpha));
+        let wanted = time_to_calm.max(MIN_RETRY_SHARE * route.target_latency_ms());
+        let longest = (time_left_ms * MAX_RETRY_SHARE).max(0.0);
+        let delay = wanted.min(longest) * (1.0 - RETRY_JITTER * self.rng.f64());
         Decision::Refuse { retry_after_ms: delay as u64 }
     }
 
-    /// Takes what a request tells that has had its first byte, or has ended without one. What is found
-    /// after a stall of this process tells nothing.
+    /// Records the sample of a request that has had its first byte, or has ended without one. Samples right after
+    /// a stall of this process are ignored.
     pub fn record_sample(&mut self, now: u64, route: &str, sample: Sample) {
-        self.note(now);
+        self.record_input(now);
         if now < self.stalled_until {
             return;
         }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Takes the sum of what the other gatekeepers tell of a route; it replaces the last one.
+    /// Replaces the sum of the other gatekeepers' summaries of a route.
     pub fn set_peer_summary(&mut self, now: u64, route: &str, summary: Summary) {
         self.peers_heard(now);
         if let Some(route) = self.routes.get_mut(route) {
@@ -149,26 +150,26 @@
         }
     }
 
-    /// Notes that the other gatekeepers were heard, also where they have nothing to tell. Until it is called
-    /// again within five seconds, each of them is taken to admit as much as this one.
+    /// Notes that the other gatekeepers were heard, even if they admit nothing. Five seconds after the last call
+    /// each of them is assumed to admit as much as this one.
     pub fn peers_heard(&mut self, now: u64) {
-        self.heard_at = Some(now);
+        self.peers_heard_at = Some(now);
     }
 
-    /// What this gatekeeper tells the others: its routes that admit anything.
+    /// Summaries for the other gatekeepers, of the routes that admit anything.
     pub fn summary(&self, _now: u64) -> Vec<(String, Summary)> {
-        let told = self.routes.iter().map(|(name, route)| (name.clone(), route.own()));
-        told.filter(|(_, summary)| summary.admitted_per_s > IDLE_WEIGHT).collect()
+        let summaries = self.routes.iter().map(|(name, route)| (name.clone(), route.own_summary()));
+        summaries.filter(|(_, summary)| summary.admitted_per_s > IDLE_WEIGHT).collect()
     }
 
-    /// Smoothed price of a unit of a route, in units of worth.
+    /// Smoothed price of a route's unit, in units of worth.
     pub fn price(&self, route: &str) -> Option<f64> {
         self.routes.get(route).map(|route| route.price)
     }
 
-    /// Measures and prices the past second; to be called each second.
+    /// Updates the rates, waits and prices by the past second; has to be called each second.
     pub fn tick(&mut self, now: u64) {
-        self.note(now);
+        self.record_input(now);
         let Some(before) = self.ticked_at.replace(now) else { return };
         let seconds = now.saturating_sub(before) as f64 / 1000.0;
         if seconds <= 0.0 {
@@ -180,22 +181,22 @@
         let names: Vec<String> = self.services.keys().cloned().collect();
         for name in names {
             self.reprice(now, &name, seconds);
-            self.recharge(now, &name);
+            self.update_charges(now, &name);
         }
     }
 
-    /// Computes the newest price of each of a service's routes and smooths it.
+    /// Computes the price of each route of a service and smooths it.
     fn reprice(&mut self, now: u64, name: &str, seconds: f64) {
-        let heard = self.heard_at.is_some_and(|at| now.saturating_sub(at) <= HEARD_FOR_MS);
+        let heard = self.peers_heard_at.is_some_and(|at| now.saturating_sub(at) <= PEER_TTL_MS);
         let silent = if heard { 0.0 } else { f64::from(self.gatekeepers - 1) };
         let Some(service) = self.services.get_mut(name) else { return };
-        let routes = || self.routes.values().filter(|route| route.terms.service == name);
+        let routes = || self.routes.values().filter(|route| route.config.service == name);
         let (mut admitted, mut delay_cost, mut waits, mut samples) = (0.0, 0.0, 0.0, 0.0);
         for route in routes() {
-            let everywhere = route.everywhere(now.saturating_sub(HEARD_FOR_MS), silent);
-            admitted += everywhere.admitted_per_s;
-            delay_cost += everywhere.delay_cost_per_s;
-            let (sum, count) = route.waits.second();
+            let total = route.total_summary(now.saturating_sub(PEER_TTL_MS), silent);
+            admitted += total.admitted_per_s;
+            delay_cost += total.delay_cost_per_s;
+            let (sum, count) = route.waits.current_second();
             waits += sum;
             samples += count;
         }
@@ -203,26 +204,26 @@
         let pooled = (samples > 0.0).then(|| waits / samples);
         let calm = service.pressure(&self.settings) <= 0.0;
         let (ready, queue_wait) = (service.ready(), service.queue_wait_ms());
-        for route in self.routes.values_mut().filter(|route| route.terms.service == name) {
+        for route in self.routes.values_mut().filter(|route| route.config.service == name) {
             route.waits.end_second(calm, pooled);
             let newest = price::congestion_price(route.wait_ms(queue_wait), ready, delay_cost);
             route.price = price::smoothed(self.settings.alpha, newest, route.price);
         }
     }
 
-    /// Computes what each route of a service is charged, so that none is charged more than a less urgent one.
-    fn recharge(&mut self, now: u64, name: &str) {
-        self.recharged_at.insert(name.to_owned(), now);
+    /// Computes the charge of each route of a service, so that none is charged more than a less urgent one.
+    fn update_charges(&mut self, now: u64, name: &str) {
+        self.charged_at.insert(name.to_owned(), now);
         let queue_wait = self.services.get(name).map_or(0.0, Service::queue_wait_ms);
         let mut routes: Vec<&mut Route> =
-            self.routes.values_mut().filter(|route| route.terms.service == name).collect();
+            self.routes.values_mut().filter(|route| route.config.service == name).collect();
         routes.sort_by(|a, b| {
             let by_charge = || a.own_charge(queue_wait).total_cmp(&b.own_charge(queue_wait));
-            a.terms.priority.cmp(&b.terms.priority).then_with(by_charge)
+            a.config.priority.cmp(&b.config.priority).then_with(by_charge)
         });
         let charge = |route: &&mut Route| WeightedValue {
             value: route.own_charge(queue_wait),
-            weight: route.asked_per_s().max(IDLE_WEIGHT),
+            weight: route.arrived_per_s().max(IDLE_WEIGHT),
         };
         let charges: Vec<WeightedValue> = routes.iter().map(charge).collect();
         for (route, charge) in routes.into_iter().zip(isotonic_regression(&charges)) {
@@ -230,30 +231,30 @@
         }
     }
 
-    /// Notes the time of an input, and a stall before it.
-    fn note(&mut self, now: u64) {
-        if now.saturating_sub(self.seen_at) > STALL_MS {
-            self.stalled_until = now + STALL_LASTS_MS;
+    /// Records the time of an input and detects a stall before it.
+    fn record_input(&mut self, now: u64) {
+        if now.saturating_sub(self.last_input_at) > STALL_GAP_MS {
+            self.stalled_until = now + STALL_RECOVERY_MS;
         }
-        self.seen_at = self.seen_at.max(now);
+        self.last_input_at = self.last_input_at.max(now);
     }
 
-    /// Gives each route its rank among the priorities of its service.
-    fn rank(&mut self) {
+    /// Sets each route's rank among the priorities of its service.
+    fn update_ranks(&mut self) {
         let mut priorities: BTreeMap<String, BTreeSet<u8>> = BTreeMap::new();
         for route in self.routes.values() {
-            priorities.entry(route.terms.service.clone()).or_default().insert(route.terms.priority);
+            priorities.entry(route.config.service.clone()).or_default().insert(route.config.priority);
         }
         for route in self.routes.values_mut() {
-            let ranks = &priorities[&route.terms.service];
-            route.set_rank(ranks.range(..route.terms.priority).count(), ranks.len());
+            let ranks = &priorities[&route.config.service];
+            route.set_rank(ranks.range(..route.config.priority).count(), ranks.len());
         }
     }
 }
 
-/// Time in which smoothing brings a charge down to where nothing is refused, if the newest price is nought.
-fn fall_ms(charge: f64, alpha: f64) -> f64 {
-    let seconds = (charge / (1.0 - SPREAD)).ln() / -(1.0 - alpha).ln();
+/// Time in which smoothing lowers a charge to where nothing is refused, if new prices are 0.
+fn decay_ms(charge: f64, alpha: f64) -> f64 {
+    let seconds = (charge / (1.0 - WORTH_SPREAD)).ln() / -(1.0 - alpha).ln();
     if seconds.is_finite() {
         seconds.max(0.0) * 1000.0
     } else {
@@ -261,11 +262,11 @@
     }
 }
 
-/// The admission test of one request, whose worth is drawn around its route's.
-fn pays(route: &Route, units: f64, draw: f64, wait: f64, pressure: f64) -> bool {
+/// The admission test of one request; `draw` is the random factor on its worth.
+fn is_worth_charge(route: &Route, units: f64, draw: f64, wait: f64, pressure: f64) -> bool {
     let (worth, aim, surplus) = (route.worth * units, route.target_latency_ms(), route.surplus());
     let value = worth * (1.0 - surplus + surplus * draw);
-    // The price as charged: with it, wait and price together come to the route's share of the charges.
+    // The price is chosen so that wait and price together amount to the route's charge.
     let charged = worth * (surplus * route.charge * pressure - wait / aim);
     price::exceeds_cost(value, worth, aim, route.served_ms() + wait, charged)
 }
--- a/crates/admission/src/hung.rs
+++ b/crates/admission/src/hung.rs
@@ -1,26 +1,26 @@
-//! Telling a hung worker from a wait.
+//! Detection of hung workers.
 
-/// Multiple of the expected latency after which silence no longer passes for waiting.
-const SILENT: f64 = 10.0;
+/// Multiple of the expected latency above which silence is no longer taken for queueing.
+const SILENCE_FACTOR: f64 = 10.0;
 
-/// An attempt that has no answer yet.
+/// An attempt without an answer so far.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UnansweredAttempt {
     /// Time since it was sent.
     pub age_ms: f64,
-    /// Latency that its route's answers have at present.
+    /// Present latency of its route.
     pub expected_ms: f64,
-    /// Its worker has begun an answer to something that was sent to it later.
+    /// Its worker has begun to answer a request that was sent later.
     pub overtaken: bool,
-    /// Its worker's heartbeats, or its answers to others, have come since it was sent.
+    /// A heartbeat of its worker, or an answer to another request, has arrived since it was sent.
     pub worker_heard: bool,
 }
 
-/// Whether an attempt is out for the sake of its worker and not of a queue.
+/// Whether an attempt is unanswered because its worker hangs, and not because it is queued.
 ///
-/// Queues are served in turn, so an attempt that was overtaken is lost; and a worker of which nothing at all
-/// is heard for ten times the expected latency stands still.
+/// Queues are served in order, so an overtaken attempt is lost; and a worker that is silent in every respect for
+/// ten times the expected latency is stalled.
 pub fn is_worker_hung(silence: UnansweredAttempt) -> bool {
-    let silent = silence.age_ms > SILENT * silence.expected_ms.max(1.0);
+    let silent = silence.age_ms > SILENCE_FACTOR * silence.expected_ms.max(1.0);
     silent && (silence.overtaken || !silence.worker_heard)
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,23 +1,22 @@
 //! Smoothed price of a route and the admission test.
 //!
-//! [`price`] is the arithmetic that the program in service and the system share. [`Controller`] is the system's
-//! admission stage: one a gatekeeper, ahead of routing, fed with its own requests, the workers' load and what
-//! other gatekeepers tell. It has no clock and no I/O; `now` is a monotonic clock in milliseconds.
-//! Where worth comes from, how figures are gathered and what keeps refusals fair stands in
-//! `docs/design/admission.md`.
+//! [`price`] is the arithmetic that the gateway and the system share. [`Controller`] is the system's admission
+//! stage, ahead of routing: each gatekeeper has one, which is given its own requests, the workers' load and the
+//! summaries of other gatekeepers. It has no clock and no I/O; `now` is a monotonic clock in milliseconds.
+//! `docs/design/admission.md` says where worth comes from, how figures are gathered and how refusals stay fair.
 //!
 //! ```
 //! use switchhill_admission::{Controller, Decision, RouteConfig, ServiceLoad, Settings};
 //!
 //! let mut controller = Controller::new(Settings { seed: 7, ..Settings::default() });
-//! let terms = RouteConfig {
+//! let config = RouteConfig {
 //!     route: "live".into(),
 //!     service: "model".into(),
 //!     target_latency_ms: 400.0,
 //!     priority: 0,
 //!     timeout_ms: 12_000.0,
 //! };
-//! controller.set_routes(0, &[terms]);
+//! controller.set_routes(0, &[config]);
 //! controller.set_service_load(0, "model", ServiceLoad { ready_workers: 18, slots: 576, outstanding: 40.0 });
 //! assert_eq!(controller.decide(5, "live", 826.0, 12_000.0), Decision::Admit);
 //! ```
--- a/crates/admission/src/monotone.rs
+++ b/crates/admission/src/monotone.rs
@@ -1,6 +1,6 @@
-//! WeightedValue isotonic regression, by pooling of adjacent violators.
+//! Weighted isotonic regression by the pool adjacent violators algorithm.
 
-/// A value and the weight with which it enters a mean.
+/// A value and its weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WeightedValue {
     /// The value.
@@ -9,7 +9,7 @@
     pub weight: f64,
 }
 
-/// The non-decreasing sequence nearest to `values` in weighted squares; weighted sums are kept.
+/// The non-decreasing sequence with the least weighted squared distance to `values`; it has the same weighted sum.
 pub fn isotonic_regression(values: &[WeightedValue]) -> Vec<f64> {
     let mut pools: Vec<(WeightedValue, usize)> = Vec::with_capacity(values.len());
     for value in values {
--- a/crates/admission/tests/controller.rs
+++ b/crates/admission/tests/controller.rs
@@ -1,4 +1,4 @@
-//! Single properties of the controller.
+//! Properties of the controller.
 
 use googletest::prelude::*;
 use switchhill_admission::{
@@ -9,7 +9,7 @@
 const FULL: ServiceLoad = ServiceLoad { ready_workers: 4, slots: 64, outstanding: 64.0 };
 const FREE: ServiceLoad = ServiceLoad { ready_workers: 4, slots: 64, outstanding: 5.0 };
 
-fn terms(route: &str, priority: u8, target_latency_ms: f64) -> RouteConfig {
+fn route_config(route: &str, priority: u8, target_latency_ms: f64) -> RouteConfig {
     let (route, service) = (route.to_owned(), "model".to_owned());
     RouteConfig { route, service, target_latency_ms, priority, timeout_ms: 12_000.0 }
 }
@@ -25,8 +25,8 @@
     Sample { first_byte_ms: Some(first_byte_ms), waited_for_load: false, worker_hung: false, units: 1000.0 }
 }
 
-/// Seconds of 50 requests each on a route, answered after these times.
-fn seconds(
+/// Plays seconds of 50 requests each on a route, with this load of the service and this sample for each.
+fn play_seconds(
     controller: &mut Controller,
     route: &str,
     from_s: u64,
@@ -46,11 +46,11 @@
     }
 }
 
-/// A route with 10 calm seconds of 50 ms, then some of these answers while its service is full.
+/// A route after 10 calm seconds of 50 ms answers, and 10 with this sample while its service is full.
 fn after(sample: Sample) -> Controller {
-    let mut controller = controller(&[terms("live", 0, 400.0)]);
-    seconds(&mut controller, "live", 0, 10, FREE, answer(50.0));
-    seconds(&mut controller, "live", 10, 20, FULL, sample);
+    let mut controller = controller(&[route_config("live", 0, 400.0)]);
+    play_seconds(&mut controller, "live", 0, 10, FREE, answer(50.0));
+    play_seconds(&mut controller, "live", 10, 20, FULL, sample);
     controller
 }
 
@@ -58,7 +58,7 @@
     controller.price(route).expect("a known route")
 }
 
-/// Share of a thousand requests that is refused.
+/// Share of 1000 requests that is refused.
 fn refused(controller: &mut Controller, route: &str, size: f64, left_ms: f64) -> f64 {
     let now = 20_000;
     let refused = |controller: &mut Controller| {
@@ -70,7 +70,7 @@
 
 #[gtest]
 fn a_price_starts_at_nought_and_rises_with_waits() {
-    let fresh = controller(&[terms("live", 0, 400.0)]);
+    let fresh = controller(&[route_config("live", 0, 400.0)]);
     expect_that!(price(&fresh, "live"), eq(0.0));
     let (short, long) = (after(answer(100.0)), after(answer(400.0)));
     expect_that!(price(&long, "live"), gt(4.0 * price(&short, "live")));
@@ -82,56 +82,56 @@
     let loading = price(&after(Sample { waited_for_load: true, ..answer(900.0) }), "live");
     let hung = price(&after(Sample { worker_hung: true, ..answer(900.0) }), "live");
     expect_that!(plain, gt(1.0));
-    // Their queue alone is left in it.
+    // Only the queue's wait is left in the price.
     expect_that!(loading, lt(plain / 2.0));
     expect_that!(hung, eq(loading));
 }
 
 #[gtest]
 fn nothing_is_refused_without_pressure() {
-    let mut jammed = after(answer(900.0));
-    expect_that!(refused(&mut jammed, "live", 1000.0, 12_000.0), gt(0.5));
-    jammed.set_service_load(20_000, "model", FREE);
+    let mut overloaded = after(answer(900.0));
+    expect_that!(refused(&mut overloaded, "live", 1000.0, 12_000.0), gt(0.5));
+    overloaded.set_service_load(20_000, "model", FREE);
     for _ in 0..30 {
-        expect_that!(jammed.decide(20_000, "live", 1000.0, 12_000.0), eq(Decision::Admit));
+        expect_that!(overloaded.decide(20_000, "live", 1000.0, 12_000.0), eq(Decision::Admit));
     }
 }
 
 #[gtest]
 fn nothing_is_refused_while_no_slots_are_known() {
-    let mut jammed = after(answer(900.0));
-    jammed.set_service_load(20_000, "model", ServiceLoad { slots: 0, ..FULL });
+    let mut overloaded = after(answer(900.0));
+    overloaded.set_service_load(20_000, "model", ServiceLoad { slots: 0, ..FULL });
     for _ in 0..100 {
-        expect_that!(jammed.decide(20_000, "live", 1000.0, 12_000.0), eq(Decision::Admit));
+        expect_that!(overloaded.decide(20_000, "live", 1000.0, 12_000.0), eq(Decision::Admit));
     }
 }
 
 #[gtest]
 fn own_admissions_count_until_the_next_load() {
-    let mut jammed = after(answer(900.0));
-    jammed.set_service_load(20_000, "model", FREE);
+    let mut overloaded = after(answer(900.0));
+    overloaded.set_service_load(20_000, "model", FREE);
     let decisions: Vec<Decision> =
-        (0..400).map(|_| jammed.decide(20_000, "live", 1000.0, 12_000.0)).collect();
+        (0..400).map(|_| overloaded.decide(20_000, "live", 1000.0, 12_000.0)).collect();
     let first = decisions.iter().position(|decision| *decision != Decision::Admit);
     expect_that!(first, some(all![ge(52), lt(110)]), "most slots are free for 52 more");
 }
 
 #[gtest]
 fn what_others_admit_raises_the_price_and_its_lack_is_made_up_for() {
-    let told = |summary: Option<Summary>, gatekeepers: u32| {
-        let mut controller = controller(&[terms("live", 0, 400.0)]);
+    let price_with = |summary: Option<Summary>, gatekeepers: u32| {
+        let mut controller = controller(&[route_config("live", 0, 400.0)]);
         controller.set_gatekeepers(gatekeepers);
-        seconds(&mut controller, "live", 0, 10, FREE, answer(50.0));
+        play_seconds(&mut controller, "live", 0, 10, FREE, answer(50.0));
         for second in 10..20 {
-            summary.into_iter().for_each(|told| controller.set_peer_summary(second * 1000, "live", told));
-            seconds(&mut controller, "live", second, second + 1, FREE, answer(150.0));
+            summary.into_iter().for_each(|sum| controller.set_peer_summary(second * 1000, "live", sum));
+            play_seconds(&mut controller, "live", second, second + 1, FREE, answer(150.0));
         }
         price(&controller, "live")
     };
-    let alone = told(None, 1);
-    let ten_alike = told(None, 10);
-    let nine_told = told(Some(Summary { admitted_per_s: 450.0, delay_cost_per_s: 1125.0 }), 10);
-    let idle = told(Some(Summary::default()), 10);
+    let alone = price_with(None, 1);
+    let ten_alike = price_with(None, 10);
+    let nine_told = price_with(Some(Summary { admitted_per_s: 450.0, delay_cost_per_s: 1125.0 }), 10);
+    let idle = price_with(Some(Summary::default()), 10);
     expect_that!(ten_alike / alone, near(10.0, 0.01));
     expect_that!(nine_told / alone, near(10.0, 0.5));
     expect_that!(idle, near(alone, 1e-9));
@@ -139,11 +139,11 @@
 
 #[gtest]
 fn old_news_of_others_no_longer_counts() {
-    let mut controller = controller(&[terms("live", 0, 400.0)]);
+    let mut controller = controller(&[route_config("live", 0, 400.0)]);
     controller.set_gatekeepers(2);
     controller.set_peer_summary(0, "live", Summary { admitted_per_s: 1e6, delay_cost_per_s: 1e6 });
-    seconds(&mut controller, "live", 0, 10, FREE, answer(50.0));
-    seconds(&mut controller, "live", 10, 60, FREE, answer(150.0));
+    play_seconds(&mut controller, "live", 0, 10, FREE, answer(50.0));
+    play_seconds(&mut controller, "live", 10, 60, FREE, answer(150.0));
     let told_long_ago = price(&controller, "live");
     expect_that!(told_long_ago, all![gt(0.1), lt(10.0)]);
 }
@@ -151,14 +151,14 @@
 #[gtest]
 fn others_that_are_heard_and_tell_nothing_admit_nothing() {
     let priced = |heard: bool| {
-        let mut controller = controller(&[terms("live", 0, 400.0)]);
+        let mut controller = controller(&[route_config("live", 0, 400.0)]);
         controller.set_gatekeepers(10);
         for second in 0..20 {
             if heard {
                 controller.peers_heard(second * 1000);
             }
             let latency = if second < 10 { 50.0 } else { 150.0 };
-            seconds(&mut controller, "live", second, second + 1, FREE, answer(latency));
+            play_seconds(&mut controller, "live", second, second + 1, FREE, answer(latency));
         }
         price(&controller, "live")
     };
@@ -168,9 +168,9 @@
 #[gtest]
 fn latencies_found_after_a_stall_of_the_process_are_left_out() {
     let priced = |resumes_at_s: u64| {
-        let mut controller = controller(&[terms("live", 0, 400.0)]);
-        seconds(&mut controller, "live", 0, 10, FREE, answer(50.0));
-        seconds(&mut controller, "live", resumes_at_s, resumes_at_s + 1, FREE, answer(3000.0));
+        let mut controller = controller(&[route_config("live", 0, 400.0)]);
+        play_seconds(&mut controller, "live", 0, 10, FREE, answer(50.0));
+        play_seconds(&mut controller, "live", resumes_at_s, resumes_at_s + 1, FREE, answer(3000.0));
         price(&controller, "live")
     };
     expect_that!(priced(13), lt(0.01));
@@ -179,8 +179,8 @@
 
 #[gtest]
 fn a_summary_tells_what_is_admitted() {
-    let mut controller = controller(&[terms("live", 0, 400.0), terms("idle", 0, 400.0)]);
-    seconds(&mut controller, "live", 0, 30, FREE, answer(50.0));
+    let mut controller = controller(&[route_config("live", 0, 400.0), route_config("idle", 0, 400.0)]);
+    play_seconds(&mut controller, "live", 0, 30, FREE, answer(50.0));
     let summary = controller.summary(30_000);
     expect_that!(summary.len(), eq(1));
     expect_that!(summary[0].0, eq("live"));
@@ -190,21 +190,21 @@
 
 #[gtest]
 fn size_does_not_move_the_refused_share() {
-    let mut jammed = after(answer(200.0));
-    let small = refused(&mut jammed, "live", 1000.0, 12_000.0);
-    let large = refused(&mut jammed, "live", 4000.0, 12_000.0);
+    let mut overloaded = after(answer(200.0));
+    let small = refused(&mut overloaded, "live", 1000.0, 12_000.0);
+    let large = refused(&mut overloaded, "live", 4000.0, 12_000.0);
     expect_that!(small, all![gt(0.1), lt(0.89)]);
     expect_that!(large, near(small, 0.06));
 }
 
 #[gtest]
 fn a_more_urgent_route_with_a_tighter_aim_is_refused_less() {
-    let mut both = controller(&[terms("patient", 1, 6000.0), terms("live", 0, 400.0)]);
-    seconds(&mut both, "live", 0, 10, FREE, answer(50.0));
-    seconds(&mut both, "patient", 10, 20, FREE, answer(50.0));
+    let mut both = controller(&[route_config("patient", 1, 6000.0), route_config("live", 0, 400.0)]);
+    play_seconds(&mut both, "live", 0, 10, FREE, answer(50.0));
+    play_seconds(&mut both, "patient", 10, 20, FREE, answer(50.0));
     for second in 20..26 {
-        seconds(&mut both, "patient", second, second + 1, FULL, answer(250.0));
-        seconds(&mut both, "live", second, second + 1, FULL, answer(250.0));
+        play_seconds(&mut both, "patient", second, second + 1, FULL, answer(250.0));
+        play_seconds(&mut both, "live", second, second + 1, FULL, answer(250.0));
     }
     let live = refused(&mut both, "live", 1000.0, 12_000.0);
     let patient = refused(&mut both, "patient", 1000.0, 12_000.0);
@@ -214,62 +214,66 @@
 
 #[gtest]
 fn what_could_not_be_answered_any_more_is_refused_under_pressure() {
-    let mut jammed = after(answer(100.0));
-    let hopeful = refused(&mut jammed, "live", 1000.0, 12_000.0);
-    let in_vain = refused(&mut jammed, "live", 1000.0, 20.0);
+    let mut overloaded = after(answer(100.0));
+    let hopeful = refused(&mut overloaded, "live", 1000.0, 12_000.0);
+    let in_vain = refused(&mut overloaded, "live", 1000.0, 20.0);
     expect_that!(hopeful, lt(0.5));
     expect_that!(in_vain, gt(0.8));
 }
 
 #[gtest]
 fn a_part_is_admitted_at_any_price() {
-    let mut jammed = after(answer(11_000.0));
-    expect_that!(refused(&mut jammed, "live", 1000.0, 12_000.0), all![gt(0.85), lt(0.95)]);
+    let mut overloaded = after(answer(11_000.0));
+    expect_that!(refused(&mut overloaded, "live", 1000.0, 12_000.0), all![gt(0.85), lt(0.95)]);
 }
 
 #[gtest]
 fn a_route_keeps_its_price_under_new_terms_and_loses_it_with_its_removal() {
-    let mut jammed = after(answer(400.0));
-    let before = price(&jammed, "live");
-    jammed.set_routes(20_000, &[terms("live", 3, 900.0), terms("other", 0, 400.0)]);
-    expect_that!(price(&jammed, "live"), eq(before));
-    expect_that!(price(&jammed, "other"), eq(0.0));
-    jammed.set_routes(21_000, &[terms("other", 0, 400.0)]);
-    expect_that!(jammed.price("live"), none());
-    jammed.set_routes(22_000, &[terms("live", 0, 400.0)]);
-    expect_that!(price(&jammed, "live"), eq(0.0));
+    let mut overloaded = after(answer(400.0));
+    let before = price(&overloaded, "live");
+    overloaded.set_routes(20_000, &[route_config("live", 3, 900.0), route_config("other", 0, 400.0)]);
+    expect_that!(price(&overloaded, "live"), eq(before));
+    expect_that!(price(&overloaded, "other"), eq(0.0));
+    overloaded.set_routes(21_000, &[route_config("other", 0, 400.0)]);
+    expect_that!(overloaded.price("live"), none());
+    overloaded.set_routes(22_000, &[route_config("live", 0, 400.0)]);
+    expect_that!(price(&overloaded, "live"), eq(0.0));
 }
 
 #[gtest]
 fn an_unknown_route_is_admitted() {
-    let mut jammed = after(answer(900.0));
-    expect_that!(jammed.decide(20_000, "nowhere", 1000.0, 12_000.0), eq(Decision::Admit));
+    let mut overloaded = after(answer(900.0));
+    expect_that!(overloaded.decide(20_000, "nowhere", 1000.0, 12_000.0), eq(Decision::Admit));
 }
 
 #[gtest]
 fn figures_that_are_no_numbers_do_no_harm() {
-    let mut jammed = after(answer(900.0));
+    let mut overloaded = after(answer(900.0));
     let wrong = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0];
     for (second, figure) in (20..).zip(wrong) {
         let now = second * 1000;
-        jammed.set_service_load(now, "model", ServiceLoad { outstanding: figure, ..FULL });
-        jammed.set_peer_summary(now, "live", Summary { admitted_per_s: figure, delay_cost_per_s: figure });
-        jammed.decide(now, "live", figure, figure);
-        jammed.record_sample(now, "live", answer(figure));
-        jammed.tick(now);
+        overloaded.set_service_load(now, "model", ServiceLoad { outstanding: figure, ..FULL });
+        overloaded.set_peer_summary(
+            now,
+            "live",
+            Summary { admitted_per_s: figure, delay_cost_per_s: figure },
+        );
+        overloaded.decide(now, "live", figure, figure);
+        overloaded.record_sample(now, "live", answer(figure));
+        overloaded.tick(now);
     }
-    expect_that!(price(&jammed, "live").is_finite(), eq(true));
-    seconds(&mut jammed, "live", 30, 60, FREE, answer(50.0));
-    expect_that!(price(&jammed, "live"), lt(1.0));
+    expect_that!(price(&overloaded, "live").is_finite(), eq(true));
+    play_seconds(&mut overloaded, "live", 30, 60, FREE, answer(50.0));
+    expect_that!(price(&overloaded, "live"), lt(1.0));
 }
 
 #[gtest]
 fn a_clock_that_stands_still_changes_nothing() {
-    let mut jammed = after(answer(900.0));
-    let before = price(&jammed, "live");
-    jammed.tick(20_000);
-    jammed.tick(19_000);
-    expect_that!(price(&jammed, "live"), eq(before));
+    let mut overloaded = after(answer(900.0));
+    let before = price(&overloaded, "live");
+    overloaded.tick(20_000);
+    overloaded.tick(19_000);
+    expect_that!(price(&overloaded, "live"), eq(before));
 }
 
 #[gtest]
@@ -290,32 +294,32 @@
 
 #[gtest]
 fn a_long_overload_does_not_become_the_usual_latency() {
-    let mut jammed = controller(&[terms("live", 0, 400.0)]);
-    seconds(&mut jammed, "live", 0, 10, FREE, answer(50.0));
-    seconds(&mut jammed, "live", 10, 60, FULL, answer(250.0));
-    let before = price(&jammed, "live");
-    seconds(&mut jammed, "live", 60, 260, FULL, answer(250.0));
-    expect_that!(price(&jammed, "live"), ge(0.95 * before));
+    let mut overloaded = controller(&[route_config("live", 0, 400.0)]);
+    play_seconds(&mut overloaded, "live", 0, 10, FREE, answer(50.0));
+    play_seconds(&mut overloaded, "live", 10, 60, FULL, answer(250.0));
+    let before = price(&overloaded, "live");
+    play_seconds(&mut overloaded, "live", 60, 260, FULL, answer(250.0));
+    expect_that!(price(&overloaded, "live"), ge(0.95 * before));
 }
 
 #[gtest]
 fn the_usual_latency_follows_a_lasting_change_in_calm() {
-    let mut moved = controller(&[terms("live", 0, 400.0)]);
-    seconds(&mut moved, "live", 0, 10, FREE, answer(50.0));
-    seconds(&mut moved, "live", 10, 40, FREE, answer(150.0));
+    let mut moved = controller(&[route_config("live", 0, 400.0)]);
+    play_seconds(&mut moved, "live", 0, 10, FREE, answer(50.0));
+    play_seconds(&mut moved, "live", 10, 40, FREE, answer(150.0));
     expect_that!(price(&moved, "live"), gt(0.1));
-    seconds(&mut moved, "live", 40, 240, FREE, answer(150.0));
+    play_seconds(&mut moved, "live", 40, 240, FREE, answer(150.0));
     expect_that!(price(&moved, "live"), lt(0.01));
 }
 
 #[gtest]
 fn of_equal_aims_the_less_urgent_is_refused_more() {
-    let mut both = controller(&[terms("first", 0, 400.0), terms("second", 4, 400.0)]);
-    seconds(&mut both, "first", 0, 10, FREE, answer(50.0));
-    seconds(&mut both, "second", 10, 20, FREE, answer(50.0));
+    let mut both = controller(&[route_config("first", 0, 400.0), route_config("second", 4, 400.0)]);
+    play_seconds(&mut both, "first", 0, 10, FREE, answer(50.0));
+    play_seconds(&mut both, "second", 10, 20, FREE, answer(50.0));
     for second in 20..30 {
-        seconds(&mut both, "first", second, second + 1, FULL, answer(170.0));
-        seconds(&mut both, "second", second, second + 1, FULL, answer(170.0));
+        play_seconds(&mut both, "first", second, second + 1, FULL, answer(170.0));
+        play_seconds(&mut both, "second", second, second + 1, FULL, answer(170.0));
     }
     let first = refused(&mut both, "first", 1000.0, 12_000.0);
     let second = refused(&mut both, "second", 1000.0, 12_000.0);
@@ -324,13 +328,13 @@
 
 #[gtest]
 fn delay_cost_goes_by_rank_and_aim() {
-    let mut both = controller(&[terms("first", 0, 400.0), terms("second", 4, 200.0)]);
-    seconds(&mut both, "first", 0, 30, FREE, answer(50.0));
+    let mut both = controller(&[route_config("first", 0, 400.0), route_config("second", 4, 200.0)]);
+    play_seconds(&mut both, "first", 0, 30, FREE, answer(50.0));
     let cost = |controller: &Controller| {
         let summary = controller.summary(0);
         summary.last().map(|(_, told)| told.delay_cost_per_s / told.admitted_per_s)
     };
     expect_that!(cost(&both), some(near(2.5, 1e-6)));
-    seconds(&mut both, "second", 30, 60, FREE, answer(50.0));
+    play_seconds(&mut both, "second", 30, 60, FREE, answer(50.0));
     expect_that!(cost(&both), some(near(0.7 * 5.0, 1e-6)));
 }
--- a/crates/admission/tests/monotone.rs
+++ b/crates/admission/tests/monotone.rs
@@ -1,4 +1,4 @@
-//! Isotonic regression against its definition.
+//! Isotonic regression, checked against its definition.
 
 use googletest::prelude::*;
 use switchhill_admission::{isotonic_regression, WeightedValue};
@@ -8,7 +8,7 @@
 }
 
 fn sum<'a>(values: impl Iterator<Item = (&'a f64, &'a WeightedValue)>) -> f64 {
-    values.map(|(value, told)| value * told.weight).sum()
+    values.map(|(value, input)| value * input.weight).sum()
 }
 
 #[gtest]
@@ -38,11 +38,11 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let values: Vec<(f64, f64)> =
             (0..rng.usize(..12)).map(|_| (rng.f64() * 10.0, 0.01 + rng.f64())).collect();
-        let told = weighted(&values);
-        let fitted = isotonic_regression(&told);
-        expect_that!(fitted.len(), eq(told.len()), "seed {seed}");
+        let input = weighted(&values);
+        let fitted = isotonic_regression(&input);
+        expect_that!(fitted.len(), eq(input.len()), "seed {seed}");
         expect_that!(fitted.is_sorted_by(|a, b| a <= b), eq(true), "seed {seed}: {fitted:?}");
-        let before: f64 = told.iter().map(|value| value.value * value.weight).sum();
-        expect_that!(sum(fitted.iter().zip(&told)), near(before, 1e-9), "seed {seed}");
+        let before: f64 = input.iter().map(|value| value.value * value.weight).sum();
+        expect_that!(sum(fitted.iter().zip(&input)), near(before, 1e-9), "seed {seed}");
     }
 }
--- a/crates/admission/tests/overload.rs
+++ b/crates/admission/tests/overload.rs
@@ -1,9 +1,9 @@
-//! Overload of a whole service, in virtual time: calm, a burst, and what comes after it.
+//! Overload of a service in virtual time: a calm period, a burst, and the recovery.
 
 mod simulation;
 
 use googletest::prelude::*;
-use simulation::{play, Fixed, Kind, Outcome, Priced, Scene, SERVICE};
+use simulation::{simulate, ControllerPolicy, FixedPolicy, Outcome, RequestKind, Scenario, SERVICE};
 use switchhill_admission::{Decision, RouteConfig};
 
 const SEEDS: std::ops::Range<u64> = 0..8;
@@ -11,14 +11,14 @@
 const BURST_UNTIL_MS: u64 = 35_000;
 const UNTIL_MS: u64 = 60_000;
 
-fn kind(route: &str, priority: u8, target_latency_ms: f64, timeout_ms: f64, per_s: f64) -> Kind {
+fn kind(route: &str, priority: u8, target_latency_ms: f64, timeout_ms: f64, per_s: f64) -> RequestKind {
     let (route, service) = (route.to_owned(), SERVICE.to_owned());
-    Kind { terms: RouteConfig { route, service, target_latency_ms, priority, timeout_ms }, per_s }
+    RequestKind { terms: RouteConfig { route, service, target_latency_ms, priority, timeout_ms }, per_s }
 }
 
-/// Slots for 76 requests a second; `load` is the calm part of it.
-fn scene(seed: u64, load: f64, burst: f64) -> Scene {
-    Scene {
+/// Slots for 76 requests a second; `load` is the calm arrival rate as a share of that.
+fn scenario(seed: u64, load: f64, burst: f64) -> Scenario {
+    Scenario {
         gatekeepers: 4,
         workers: 4,
         slots_each: 16,
@@ -36,25 +36,25 @@
     }
 }
 
-fn calm(seed: u64) -> Scene {
-    scene(seed, 0.5, 1.0)
+fn calm(seed: u64) -> Scenario {
+    scenario(seed, 0.5, 1.0)
 }
 
-fn overload(seed: u64) -> Scene {
-    scene(seed, 0.5, 4.0)
+fn overload(seed: u64) -> Scenario {
+    scenario(seed, 0.5, 4.0)
 }
 
-fn priced(scene: &Scene) -> Outcome {
-    play(scene, &mut Priced::new(scene))
+fn priced(scenario: &Scenario) -> Outcome {
+    simulate(scenario, &mut ControllerPolicy::new(scenario))
 }
 
-fn admit_all(scene: &Scene) -> Outcome {
-    play(scene, &mut Fixed(|_: u64, _: &RouteConfig, _: f64| Decision::Admit))
+fn admit_all(scenario: &Scenario) -> Outcome {
+    simulate(scenario, &mut FixedPolicy(|_: u64, _: &RouteConfig, _: f64| Decision::Admit))
 }
 
-/// Refuses a part of the burst, by what `refuses` says of a request; a retry comes too soon to pass.
-fn refusing(scene: &Scene, refuses: impl Fn(&RouteConfig, f64) -> bool) -> Outcome {
-    let mut policy = Fixed(|now: u64, terms: &RouteConfig, size: f64| {
+/// Refuses the requests of the burst that `refuses` selects; their retries come too soon to be admitted.
+fn refusing(scenario: &Scenario, refuses: impl Fn(&RouteConfig, f64) -> bool) -> Outcome {
+    let mut policy = FixedPolicy(|now: u64, terms: &RouteConfig, size: f64| {
         let burst = (BURST_FROM_MS..BURST_UNTIL_MS + 1000).contains(&now);
         if burst && refuses(terms, size) {
             Decision::Refuse { retry_after_ms: 100 }
@@ -62,11 +62,11 @@
             Decision::Admit
         }
     });
-    play(scene, &mut policy)
+    simulate(scenario, &mut policy)
 }
 
-fn in_burst(journey: &simulation::Journey) -> bool {
-    (BURST_FROM_MS..BURST_UNTIL_MS).contains(&journey.came_ms)
+fn in_burst(record: &simulation::RequestRecord) -> bool {
+    (BURST_FROM_MS..BURST_UNTIL_MS).contains(&record.arrived_ms)
 }
 
 fn served_by_kind(outcome: &Outcome) -> Vec<f64> {
@@ -74,7 +74,7 @@
 }
 
 fn urgent_first(outcome: &Outcome) -> bool {
-    // What chance alone makes of a few hundred requests.
+    // 0.05 is the random variation of a few hundred requests.
     served_by_kind(outcome).windows(2).all(|pair| pair[0] + 0.05 >= pair[1])
 }
 
@@ -109,9 +109,9 @@
 #[gtest]
 fn more_is_answered_in_time_than_without_refusals() {
     for seed in SEEDS {
-        let scene = overload(seed);
-        let with = priced(&scene).in_time(BURST_FROM_MS, UNTIL_MS);
-        let without = admit_all(&scene).in_time(BURST_FROM_MS, UNTIL_MS);
+        let scenario = overload(seed);
+        let with = priced(&scenario).in_time(BURST_FROM_MS, UNTIL_MS);
+        let without = admit_all(&scenario).in_time(BURST_FROM_MS, UNTIL_MS);
         expect_that!(with, gt(without + 0.25), "seed {seed}: {with} against {without}");
     }
 }
@@ -119,11 +119,11 @@
 #[gtest]
 fn more_is_earned_than_without_refusals() {
     for seed in SEEDS {
-        let scene = overload(seed);
-        let with = priced(&scene).earned(BURST_FROM_MS, UNTIL_MS);
-        let without = admit_all(&scene).earned(BURST_FROM_MS, UNTIL_MS);
+        let scenario = overload(seed);
+        let with = priced(&scenario).earned(BURST_FROM_MS, UNTIL_MS);
+        let without = admit_all(&scenario).earned(BURST_FROM_MS, UNTIL_MS);
         expect_that!(with, gt(without + 0.03), "seed {seed}: {with} against {without}");
-        let by_all = refusing(&scene, |_, _| true).earned(BURST_FROM_MS, UNTIL_MS);
+        let by_all = refusing(&scenario, |_, _| true).earned(BURST_FROM_MS, UNTIL_MS);
         expect_that!(by_all, lt(without), "seed {seed}: {by_all} for refusing all is noticed");
     }
 }
@@ -192,7 +192,7 @@
     expect_that!(decisions(3), not(eq(&decisions(4))));
 }
 
-/// One line of the table in `docs/design/admission.md`: means over ten runs.
+/// One row of the table in `docs/design/admission.md`: means of ten runs.
 #[derive(Default)]
 struct Figures {
     in_time: f64,
@@ -204,11 +204,11 @@
     const RUNS: f64 = 10.0;
     let mut figures = Figures::default();
     for seed in 0..RUNS as u64 {
-        let scene = scene(seed, load, burst);
-        let outcome = priced(&scene);
+        let scenario = scenario(seed, load, burst);
+        let outcome = priced(&scenario);
         let in_burst = |outcome: &Outcome| outcome.in_time(BURST_FROM_MS, BURST_UNTIL_MS);
         figures.in_time += in_burst(&outcome) / RUNS;
-        figures.in_time_admitting_all += in_burst(&admit_all(&scene)) / RUNS;
+        figures.in_time_admitting_all += in_burst(&admit_all(&scenario)) / RUNS;
         let served = served_by_kind(&outcome);
         figures.served_by_kind.iter_mut().zip(served).for_each(|(sum, served)| *sum += served / RUNS);
     }
--- a/crates/admission/tests/price.rs
+++ b/crates/admission/tests/price.rs
@@ -1,4 +1,4 @@
-//! The arithmetic that both programs share.
+//! The price arithmetic that the gateway and the system share.
 
 use googletest::prelude::*;
 use switchhill_admission::price::{congestion_price, delay_cost, exceeds_cost, smoothed};
