--- a/src/core/hosts.rs
+++ b/src/core/hosts.rs
@@ -35,7 +35,7 @@
             let now = self.now;
             if let Some(told) = self.hosts.get_mut(&id) {
                 // It was taken out to be restarted: unless the list has told a start since, it starts now.
-                told.born = if told.born > since { told.born } else { now };
+                told.started_at = if told.started_at > since { told.started_at } else { now };
             }
             self.events_called.push(id);
         }
@@ -57,7 +57,7 @@
     /// Whether every upstream host that takes requests has been up for as long as the settings let it warm.
     #[must_use]
     pub fn none_is_cold(&self) -> bool {
-        let cold = |told: &Backend| told.born > 0.0 && self.now < told.born + self.warm_up;
+        let cold = |told: &Backend| told.started_at > 0.0 && self.now < told.started_at + self.warm_up;
         !self.hosts.values().any(|told| told.state == BackendState::Ready && cold(told))
     }
 
@@ -86,7 +86,7 @@
     /// module's choice.
     #[must_use]
     pub fn hosts_listed_and_down(&self) -> (usize, usize) {
-        let down = |id: &&BackendId| self.cordons.contains_key(*id) || self.brain.avoids(id);
+        let down = |id: &&BackendId| self.cordons.contains_key(*id) || self.engine.is_ejected(id);
         (self.hosts.len(), self.hosts.keys().filter(down).count())
     }
 
@@ -107,7 +107,7 @@
         let before: Vec<BackendId> =
             self.hosts.keys().filter(|host| self.may_send_to(host)).cloned().collect();
         if matches!(kind, ListKind::Full | ListKind::Saved) {
-            self.hosts.values_mut().for_each(|told| told.state = BackendState::Gone);
+            self.hosts.values_mut().for_each(|told| told.state = BackendState::Removed);
         }
         for backend in &backends {
             self.hosts.insert(backend.id.clone(), backend.clone());
@@ -115,7 +115,7 @@
         let left = before.into_iter().filter(|host| !self.may_send_to(host));
         commands.extend(left.map(Command::HostLeft));
         // Hosts are replaced under new ids all day long; what is kept of those gone would only grow.
-        let gone = |told: &Backend| told.state == BackendState::Gone;
+        let gone = |told: &Backend| told.state == BackendState::Removed;
         let ids = self.hosts.iter().filter(|(_, told)| gone(told)).map(|(host, _)| host.clone());
         commands.extend(ids.map(Command::HostGone));
         self.hosts.retain(|_, told| !gone(told));
@@ -145,7 +145,7 @@
     fn drop_held_by_left(&mut self, commands: &mut Vec<Command>) {
         let left: Vec<BackendId> = self.held.keys().filter(|host| !self.may_send_to(host)).cloned().collect();
         for host in left {
-            self.drop_held(&host, Code::Void, commands);
+            self.drop_held(&host, Code::NotSent, commands);
         }
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -19,7 +19,7 @@
 };
 use crate::memory::counters::Counters;
 use crate::memory::figures::Figures;
-use crate::Brain;
+use crate::DecisionEngine;
 pub use messages::{Command, End, Input, Terms};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use streams::{Stream, Upstream, USAGE_STANDS};
@@ -40,7 +40,7 @@
 /// A gateway's streams and the module that decides on them.
 #[derive(Debug)]
 pub struct Core {
-    brain: Brain,
+    engine: DecisionEngine,
     /// Those of the settings, then those that open streams came under and the settings dropped or changed.
     classes: Vec<Class>,
     /// How many of them the settings name.
@@ -84,8 +84,8 @@
             rates: settings.plans.iter().map(|plan| plan.rate).collect(),
             max_attempts: settings.limits.max_attempts,
             meter_period: settings.meter_period,
-            warm_up: settings.rules.warm_up,
-            brain: Brain::new(settings, seed)?,
+            warm_up: settings.cold_start.warm_up,
+            engine: DecisionEngine::new(settings, seed)?,
             now: 0.0,
             streams: HashMap::new(),
             upstream: HashMap::new(),
@@ -120,8 +120,8 @@
         let named = settings.classes.clone();
         let rates = settings.plans.iter().map(|plan| plan.rate).collect();
         let (max_attempts, meter_period) = (settings.limits.max_attempts, settings.meter_period);
-        let warm_up = settings.rules.warm_up;
-        let places = self.brain.retune(settings, classes, plans, &held)?;
+        let warm_up = settings.cold_start.warm_up;
+        let places = self.engine.reconfigure(settings, classes, plans, &held)?;
         let mut all = named;
         self.named = all.len();
         for (old, place) in std::mem::take(&mut self.classes).into_iter().zip(&places) {
@@ -151,9 +151,9 @@
     #[must_use]
     pub fn next_due(&mut self) -> Option<Millis> {
         // Most timers are for streams that ended long before; waking up for each costs more than the stream.
-        let Self { timers, brain, upstream, streams, .. } = self;
+        let Self { timers, engine, upstream, streams, .. } = self;
         timers.next_that(|due| match due {
-            Due::Module(tag) => brain.wants(*tag),
+            Due::Module(tag) => engine.timer_is_live(*tag),
             Due::Upstream(id) => upstream.contains_key(id),
             Due::Stream(id) => streams.contains_key(id),
         })
@@ -177,14 +177,20 @@
                     if self.upstream.get(&id).is_some_and(|u| u.until <= self.now) {
                         let held = self.upstream.get(&id).is_some_and(|u| u.held);
                         commands.push(Command::Stop(id, !held));
-                        self.ended(id, if held { Code::Void } else { Code::TimedOut }, None, None, commands);
+                        self.ended(
+                            id,
+                            if held { Code::NotSent } else { Code::TimedOut },
+                            None,
+                            None,
+                            commands,
+                        );
                     }
                 }
                 // The module answers at the deadline; this stands in for it should it ever not.
                 Due::Stream(id) => {
                     if self.streams.get(&id).is_some_and(|stream| stream.deadline <= self.now) {
                         self.finish(id, Some(Command::Fail(id, true)), commands);
-                        self.events.push_back(Event::Lapsed(RequestId(id)));
+                        self.events.push_back(Event::ClientGone(RequestId(id)));
                     }
                 }
             }
@@ -199,7 +205,7 @@
             Input::DownstreamLeft(id) => {
                 if self.streams.contains_key(&id) {
                     self.finish(id, None, commands);
-                    self.events.push_back(Event::Lapsed(RequestId(id)));
+                    self.events.push_back(Event::ClientGone(RequestId(id)));
                 }
             }
             Input::UpstreamEnded { id, end, usage, report } => {
@@ -208,8 +214,8 @@
                     End::Error => Code::Failure,
                     End::TurnedAway => Code::Overloaded,
                     End::NotConnected => Code::Unreachable,
-                    End::Reset => Code::Broken,
-                    End::NeverSent => Code::Void,
+                    End::Reset => Code::Reset,
+                    End::NeverSent => Code::NotSent,
                 };
                 self.ended(id, code, usage, report, commands);
             }
@@ -236,7 +242,7 @@
     fn settle(&mut self, commands: &mut Vec<Command>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.brain.handle(self.now, event, &mut actions);
+            self.engine.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
                 self.act(action, commands);
             }
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -1,7 +1,7 @@
 //! What one process leaves to the next: cordons, the list, and what the module has learnt.
 
 use super::{BackendId, Core, Millis};
-use crate::brain::standing::Learnt;
+use crate::decision_engine::snapshot::EngineSnapshot;
 use crate::interface::{Backend, BackendState};
 use crate::settings::positions;
 use serde::{Deserialize, Serialize};
@@ -43,7 +43,7 @@
             cell: self.cell,
             state: if self.ready { BackendState::Ready } else { BackendState::Draining },
             rating: self.rating,
-            born: self.born,
+            started_at: self.born,
         }
     }
 }
@@ -60,7 +60,7 @@
     classes: Vec<String>,
     plans: Vec<String>,
     cordons: Vec<(String, Millis)>,
-    learnt: Learnt,
+    learnt: EngineSnapshot,
 }
 
 impl State {
@@ -89,7 +89,7 @@
             classes,
             plans,
             cordons: self.cordons.iter().map(|(id, since)| (id.to_string(), *since)).collect(),
-            learnt: self.brain.learnt(MOST_CUSTOMERS),
+            learnt: self.engine.snapshot(MOST_CUSTOMERS),
             ..State::default()
         }
     }
@@ -100,7 +100,7 @@
         let listed = |told: &Backend| {
             let (address, http2) = place(&told.id)?;
             let (id, ready) = (told.id.to_string(), told.state == BackendState::Ready);
-            let Backend { zone, cell, rating, born, .. } = *told;
+            let Backend { zone, cell, rating, started_at: born, .. } = *told;
             Some(Listed { id, address, http2, zone, cell, ready, rating, born })
         };
         self.hosts.values().filter_map(listed).collect()
@@ -113,6 +113,10 @@
             self.cordons.entry(id.clone()).or_insert(since);
             self.events_called.push(id);
         }
-        self.brain.learn(state.learnt, &positions(&state.classes, classes), &positions(&state.plans, plans));
+        self.engine.restore(
+            state.learnt,
+            &positions(&state.classes, classes),
+            &positions(&state.plans, plans),
+        );
     }
 }
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -4,7 +4,7 @@
 use super::streams::{refusal, SCARCE_HOLD_OFF};
 use super::{Downstream, Exchange, Gateway};
 use crate::core::{Input, StreamId, Terms};
-use crate::interface::{Millis, Why};
+use crate::interface::{Millis, RefusalReason};
 use crate::process::config;
 use crate::settings::Told;
 use std::collections::HashMap;
@@ -71,7 +71,7 @@
         queue.set_ticket_keys(operator.keys.clone());
         Self {
             queue,
-            latency_targets: told.module.classes.iter().map(|class| class.aim).collect(),
+            latency_targets: told.module.classes.iter().map(|class| class.target_latency).collect(),
             plans: told.plans.clone(),
             tracked: HashMap::new(),
             refused: Vec::new(),
@@ -126,10 +126,13 @@
         &mut self,
         now: Millis,
         stream: StreamId,
-        why: Why,
+        reason: RefusalReason,
     ) -> Option<Refusal> {
         let tracked = self.tracked.get(&stream)?;
-        let no_capacity = matches!(why, Why::Price | Why::NoBackend | Why::Spent);
+        let no_capacity = matches!(
+            reason,
+            RefusalReason::Price | RefusalReason::NoBackend | RefusalReason::AttemptsExhausted
+        );
         let arrival = self.arrival(stream, &tracked.terms, tracked.whole_seconds);
         self.on_completion(now, stream, if no_capacity { Outcome::Dropped } else { Outcome::Ignored });
         no_capacity.then(|| self.queue.refuse_after_dispatch(now, &arrival))
--- a/src/process/config.rs
+++ b/src/process/config.rs
@@ -74,11 +74,11 @@
             state: match phase.text()? {
                 "in_service" => BackendState::Ready,
                 "terminating" => BackendState::Draining,
-                "terminated" => BackendState::Gone,
+                "terminated" => BackendState::Removed,
                 _ => return Err(phase.bad("unknown")),
             },
             rating: from.at("size").number_or(1.0)?,
-            born: from.at("up_since_ms").number_or(0.0)?,
+            started_at: from.at("up_since_ms").number_or(0.0)?,
         },
         address: host_port.text()?.parse().map_err(|_| host_port.bad("is no address and port"))?,
         http2: from.at("protocol").text_or_empty()? == "h2c",
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -11,9 +11,9 @@
     Code::Overloaded,
     Code::TimedOut,
     Code::Unreachable,
-    Code::Broken,
-    Code::Withdrawn,
-    Code::Void,
+    Code::Reset,
+    Code::Cancelled,
+    Code::NotSent,
     Code::Unknown,
 ];
 
@@ -26,7 +26,7 @@
 #[test]
 fn each_effect_after_each_code() {
     for code in CODES {
-        let proven = matches!(code, Code::Overloaded | Code::Unreachable | Code::Void);
+        let proven = matches!(code, Code::Overloaded | Code::Unreachable | Code::NotSent);
         let mut safe = Driver::new(with_effect(Effect::Safe), 6);
         safe.request(request(1));
         assert!(sent(&safe.outcome(1, 0, code)).is_some(), "safe after {code:?}");
@@ -48,7 +48,7 @@
             driver.advance(f64::from(n));
             let first = backend_number(sent(&driver.request(request(1))).expect("sent"));
             driver.advance(driver.now + 300.0);
-            let again = driver.outcome(1, 0, Code::Broken);
+            let again = driver.outcome(1, 0, Code::Reset);
             let again = backend_number(sent(&again).expect("within the window"));
             match scope {
                 KeyScope::All => {}
@@ -57,7 +57,7 @@
             }
             // The window runs from the first attempt that may have run, and a margin is kept.
             driver.advance(driver.now + 160.0);
-            let last = driver.outcome(1, 1, Code::Broken);
+            let last = driver.outcome(1, 1, Code::Reset);
             assert!(sent(&last).is_none() && failed(&last), "sent again at 460 of 500 ms");
         }
     }
@@ -76,11 +76,11 @@
         assert!(driver.outcome(1, 0, code).is_empty());
         assert!(driver.outcome(1, 5, code).is_empty());
     }
-    assert!(driver.event(Event::Lapsed(RequestId(1))).is_empty());
+    assert!(driver.event(Event::ClientGone(RequestId(1))).is_empty());
     assert!(driver.event(Event::Timer(u64::MAX)).is_empty());
     driver.request(request(2));
-    driver.event(Event::Lapsed(RequestId(2)));
-    assert!(driver.outcome(2, 0, Code::Broken).is_empty(), "sent after the client left");
+    driver.event(Event::ClientGone(RequestId(2)));
+    assert!(driver.outcome(2, 0, Code::Reset).is_empty(), "sent after the client left");
     let done = driver.advance(10_000.0);
     assert!(!failed(&done) && !refused(&done) && sent(&done).is_none(), "{done:?}");
 }
@@ -100,8 +100,8 @@
     driver.request(request(1));
     let done = driver.advance(1_900.0);
     assert!(sent(&done).is_none(), "a second copy beside the first");
-    assert!(done.iter().any(|a| matches!(a, Action::Stop { .. })), "silence is acted on");
-    assert!(sent(&driver.outcome(1, 0, Code::Withdrawn)).is_none(), "too late to be worth a copy");
+    assert!(done.iter().any(|a| matches!(a, Action::Cancel { .. })), "silence is acted on");
+    assert!(sent(&driver.outcome(1, 0, Code::Cancelled)).is_none(), "too late to be worth a copy");
 }
 
 #[test]
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_drain_stops_sends_at_once_and_further_attempts_too() {
-    for state in [BackendState::Draining, BackendState::Gone] {
+    for state in [BackendState::Draining, BackendState::Removed] {
         let mut driver = Driver::new(settings(), 2);
         driver.request(request(1));
         driver.list(ListKind::Changes, vec![Backend { state, ..backend(1) }]);
@@ -150,7 +150,7 @@
         for n in 0..4_000_u64 {
             driver.advance(n as f64 * 10.0);
             if n == 1_000 {
-                driver.list(ListKind::Changes, vec![Backend { born, ..backend(9) }]);
+                driver.list(ListKind::Changes, vec![Backend { started_at: born, ..backend(9) }]);
             }
             if let Some(at) = sent(&driver.request(request(n))) {
                 if (1_000..1_300).contains(&n) {
@@ -175,7 +175,8 @@
         driver.request(request(n));
         driver.outcome(n, 0, Code::Failure);
     }
-    let rested = driver.log.iter().filter(|(_, a)| matches!(a, Action::Trace(t) if t.starts_with("resting")));
+    let rested =
+        driver.log.iter().filter(|(_, a)| matches!(a, Action::Trace(t) if t.starts_with("ejecting")));
     assert!((1..=4).contains(&rested.count()));
 }
 
@@ -184,11 +185,11 @@
     let field = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
-        switchhill::Brain::new(settings, 1).expect_err("unusable").field
+        switchhill::DecisionEngine::new(settings, 1).expect_err("unusable").field
     };
     assert_eq!(field(|s| s.gateways = 0), "gateways");
     assert_eq!(field(|s| s.plans[0].rate = -1.0), "plans[0].rate");
-    assert_eq!(field(|s| s.classes[0].aim = f64::NAN), "classes[0].aim");
+    assert_eq!(field(|s| s.classes[0].target_latency = f64::NAN), "classes[0].aim");
     assert_eq!(field(|s| s.plans.clear()), "plans");
 }
 
@@ -220,15 +221,16 @@
                 }
                 4 => {
                     let state =
-                        [BackendState::Ready, BackendState::Draining, BackendState::Gone][rng.usize(0..3)];
-                    let told = Backend { state, born: rng.f64() * driver.now, ..backend(rng.u32(1..9)) };
+                        [BackendState::Ready, BackendState::Draining, BackendState::Removed][rng.usize(0..3)];
+                    let told =
+                        Backend { state, started_at: rng.f64() * driver.now, ..backend(rng.u32(1..9)) };
                     watch.states.insert(told.id.to_string(), state);
                     driver.list(ListKind::Changes, vec![told])
                 }
                 5 => {
                     let id = rng.u64(0..n + 1);
                     watch.open.remove(&id);
-                    driver.event(Event::Lapsed(RequestId(id)))
+                    driver.event(Event::ClientGone(RequestId(id)))
                 }
                 _ => {
                     let Some(&(id, attempt)) = watch.out.get(rng.usize(0..watch.out.len().max(1))) else {
@@ -267,7 +269,7 @@
         if code == Code::Success {
             self.open.remove(&id);
         } else if let Some((.., tries)) = self.open.get_mut(&id) {
-            let proven = matches!(code, Code::Overloaded | Code::Unreachable | Code::Void);
+            let proven = matches!(code, Code::Overloaded | Code::Unreachable | Code::NotSent);
             tries[attempt as usize].2 = !proven;
         }
     }
@@ -424,9 +426,10 @@
     let mut cold = 0;
     for seed in 0..300 {
         let mut driver = Driver::new(settings(), 0);
-        driver.brain = switchhill::Brain::new(settings(), seed).expect("usable settings");
+        driver.engine = switchhill::DecisionEngine::new(settings(), seed).expect("usable settings");
         driver.now = 100_000.0;
-        let list = (1..=10).map(|n| Backend { born: if n == 1 { 99_999.0 } else { 0.0 }, ..backend(n) });
+        let list =
+            (1..=10).map(|n| Backend { started_at: if n == 1 { 99_999.0 } else { 0.0 }, ..backend(n) });
         driver.list(ListKind::Saved, list.collect());
         cold += u32::from(sent(&driver.request(request(1))) == Some("10.0.0.1:80"));
     }
@@ -556,7 +559,7 @@
         }
         again
     };
-    assert_eq!(tries(Code::Broken), 50);
+    assert_eq!(tries(Code::Reset), 50);
     assert!((4..=8).contains(&tries(Code::Failure)));
 }
 
@@ -570,20 +573,20 @@
     let id = |n: u32| -> BackendId { format!("10.0.{}.{}:80", n / 200, n % 200).into() };
     for n in 10..400 {
         driver.advance(driver.now + 100.0);
-        let fresh = Backend { id: id(n), born: driver.now, ..backend(1) };
+        let fresh = Backend { id: id(n), started_at: driver.now, ..backend(1) };
         let old = |n: u32, state| Backend { id: id(n), state, ..backend(1) };
-        driver.list(ListKind::Changes, vec![fresh, old(n - 2, BackendState::Gone)]);
+        driver.list(ListKind::Changes, vec![fresh, old(n - 2, BackendState::Removed)]);
     }
-    let text = format!("{:?}", driver.brain);
+    let text = format!("{:?}", driver.engine);
     assert!(!text.contains(&*id(100)) && text.contains(&*id(399)));
     // One that is gone with an attempt out is remembered until that has its outcome.
-    let gone = Backend { id: held.as_str().into(), state: BackendState::Gone, ..backend(1) };
+    let gone = Backend { id: held.as_str().into(), state: BackendState::Removed, ..backend(1) };
     driver.list(ListKind::Changes, vec![gone]);
-    assert!(format!("{:?}", driver.brain).contains(&held));
+    assert!(format!("{:?}", driver.engine).contains(&held));
     driver.outcome(1, 0, Code::Success);
     driver.list(ListKind::Changes, vec![]);
     driver.list(ListKind::Changes, (1000..1010).map(|n| Backend { id: id(n), ..backend(1) }).collect());
-    assert!(!format!("{:?}", driver.brain).contains(&held));
+    assert!(!format!("{:?}", driver.engine).contains(&held));
 }
 
 #[test]
@@ -612,7 +615,7 @@
 }
 
 fn rested(driver: &Driver) -> bool {
-    driver.log.iter().any(|(_, a)| matches!(a, Action::Trace(line) if line.starts_with("resting")))
+    driver.log.iter().any(|(_, a)| matches!(a, Action::Trace(line) if line.starts_with("ejecting")))
 }
 
 #[test]
@@ -645,12 +648,12 @@
     let broken = backend(1).id;
     (1..=24).for_each(|id| drop(driver.request(request(id))));
     for (id, there) in sent_to(&driver) {
-        driver.outcome(id, 0, if there == broken { Code::Broken } else { Code::Success });
+        driver.outcome(id, 0, if there == broken { Code::Reset } else { Code::Success });
         driver.outcome(id, 1, Code::Success);
     }
     assert!(rested(&driver));
     // All of them are warm for ever, as the list says.
-    assert_eq!(format!("{:?}", driver.brain).matches("ramp_from: -inf").count(), 4);
+    assert_eq!(format!("{:?}", driver.engine).matches("ramp_from: -inf").count(), 4);
 }
 
 #[test]
@@ -665,22 +668,22 @@
         driver.advance(driver.now + 50.0);
         driver.outcome(id, 0, Code::Success);
     }
-    let upload = Request { class: 1, coming: true, ..request(100) };
+    let upload = Request { class: 1, body_incomplete: true, ..request(100) };
     assert!(sent(&driver.request(upload)).is_some());
     driver.log.clear();
     driver.advance(driver.now + 60_000.0);
-    let told = |action: &Action| matches!(action, Action::Trace(line) if line.contains("resting"));
+    let told = |action: &Action| matches!(action, Action::Trace(line) if line.contains("ejecting"));
     assert!(!driver.log.iter().any(|(_, action)| told(action) || matches!(action, Action::Fail(_))));
-    driver.event(Event::Whole { request: RequestId(100), budget: 2000.0 });
+    driver.event(Event::BodyComplete { request: RequestId(100), budget: 2000.0 });
     driver.advance(driver.now + 60.0);
     driver.outcome(100, 0, Code::Success);
     driver.advance(driver.now + 1000.0);
     let admitted = (200..220).filter(|id| sent(&driver.request(request(*id))).is_some()).count();
     assert_eq!(admitted, 20, "nothing is priced out");
     // Without its answer it fails in the time that counts from the last byte.
-    driver.request(Request { class: 1, coming: true, ..request(300) });
+    driver.request(Request { class: 1, body_incomplete: true, ..request(300) });
     driver.advance(driver.now + 10_000.0);
-    driver.event(Event::Whole { request: RequestId(300), budget: 2000.0 });
+    driver.event(Event::BodyComplete { request: RequestId(300), budget: 2000.0 });
     assert!(!failed(&driver.advance(driver.now + 1900.0)));
     assert!(failed(&driver.advance(driver.now + 200.0)));
 }
@@ -695,10 +698,10 @@
             let mut told = settings();
             told.gateways = if many == 1 { 300 } else { 4 };
             told.ordinal = ordinal;
-            told.rules = Rules { cold_share: 0.0, warm_up: 60_000.0, ..told.rules };
+            told.cold_start = ColdStartRules { cold_share: 0.0, warm_up: 60_000.0, ..told.cold_start };
             let mut driver = Driver::new(told, 9);
             driver.advance(20_000.0);
-            driver.list(ListKind::Changes, vec![Backend { born: 20_000.0, ..backend(1) }]);
+            driver.list(ListKind::Changes, vec![Backend { started_at: 20_000.0, ..backend(1) }]);
             // Two requests a second for five seconds.
             for id in 0..10 {
                 driver.advance(driver.now + 500.0);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! Drives a brain by hand: keeps its timers, its actions and the clock.
+//! Drives a decision engine by hand: keeps its timers, its actions and the clock.
 #![allow(dead_code, missing_docs)]
 
 use switchhill::interface::*;
-use switchhill::Brain;
+use switchhill::DecisionEngine;
 
 pub fn class(effect: Effect) -> Class {
-    Class { worth: 1.0, aim: 1000.0, late_value: 0.2, effect }
+    Class { worth: 1.0, target_latency: 1000.0, late_value: 0.2, effect }
 }
 
 pub fn plan() -> Plan {
@@ -13,9 +13,9 @@
         price: 1.0,
         rate: 1000.0,
         burst: 1000.0,
-        at_once: 0.0,
-        beyond_earns: 0.0,
-        overrun_cost: 0.5,
+        max_concurrent: 0.0,
+        overage_value: 0.0,
+        overage_cost: 0.5,
         ceiling_rate: 0.0,
         ceiling_depth: 0.0,
     }
@@ -28,20 +28,25 @@
         zone: 0,
         classes: vec![class(Effect::Safe)],
         plans: vec![plan()],
-        rules: Rules { cold_share: 0.2, warm_up: 10_000.0, fall_multiple: 3.0, fall_span: 1000.0 },
+        cold_start: ColdStartRules {
+            cold_share: 0.2,
+            warm_up: 10_000.0,
+            overload_multiple: 3.0,
+            overload_window: 1000.0,
+        },
         limits: Limits {
             max_attempts: 4,
             may_duplicate: false,
             may_probe: false,
             probe_price: 0.005,
-            may_stop: true,
+            may_cancel: true,
             max_hold_off: 0.0,
             may_count: false,
         },
         report_fields: vec![],
-        report_by: ReportBy::Never,
+        report_mode: ReportMode::Never,
         meter_period: 1000.0,
-        most_units: 4.0,
+        max_units: 4.0,
         must_subscribe: false,
     }
 }
@@ -52,7 +57,7 @@
 
 pub fn backend(n: u32) -> Backend {
     let id = format!("10.0.0.{n}:80").into();
-    Backend { id, zone: n % 2, cell: n % 3, state: BackendState::Ready, rating: 1.0, born: 0.0 }
+    Backend { id, zone: n % 2, cell: n % 3, state: BackendState::Ready, rating: 1.0, started_at: 0.0 }
 }
 
 pub fn request(id: u64) -> Request {
@@ -65,12 +70,12 @@
         budget: 2000.0,
         units: 1.0,
         is_retry: false,
-        coming: false,
+        body_incomplete: false,
     }
 }
 
 pub struct Driver {
-    pub brain: Brain,
+    pub engine: DecisionEngine,
     pub now: Millis,
     pub log: Vec<(Millis, Action)>,
     /// The load report that comes with every answer.
@@ -84,8 +89,8 @@
     }
 
     pub fn seeded(settings: Settings, backends: u32, seed: u64) -> Self {
-        let brain = Brain::new(settings, seed).expect("usable settings");
-        let mut driver = Self { brain, now: 0.0, log: Vec::new(), report: None, timers: Vec::new() };
+        let engine = DecisionEngine::new(settings, seed).expect("usable settings");
+        let mut driver = Self { engine, now: 0.0, log: Vec::new(), report: None, timers: Vec::new() };
         driver.list(ListKind::Saved, (1..=backends).map(backend).collect());
         driver
     }
@@ -93,7 +98,7 @@
     /// Hands one event over; returns what was done, timers apart.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.brain.handle(self.now, event, &mut actions);
+        self.engine.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::Timer { tag, delay } = action {
                 self.timers.push((self.now + delay, *tag));
