--- a/src/data_plane/delivery.rs
+++ b/src/data_plane/delivery.rs
@@ -1,16 +1,16 @@
 //! Request handling: attempts on workers, and the response that is forwarded to the client.
 
-use super::answer_body::AnswerBody;
 use super::attempt::{AttemptResult, ResumePoint};
 use super::connection_headers::remove_connection_headers;
+use super::event_stream_response::StreamAnswer;
 use super::exchange::Exchange;
 use super::invariants::Invariant;
-use super::piped_answer::PipedAnswer;
 use super::policy;
 use super::replies::LocalReply;
 use super::request_log::RequestEnd;
-use super::stream_answer::StreamAnswer;
-use super::worker_answer::{BodyStart, WorkerAnswer};
+use super::response_body::AnswerBody;
+use super::streamed_response::PipedAnswer;
+use super::worker_response::{BodyStart, WorkerAnswer};
 use bytes::Bytes;
 use hyper::header::{HeaderValue, CONTENT_LENGTH};
 use hyper::http::response::Parts;
--- a/src/data_plane/stream_answer.rs
+++ b/src/data_plane/event_stream_response.rs
@@ -1,12 +1,12 @@
 //! A series of events, passed on one by one and taken up at another worker where its own breaks.
 
-use super::answer_body::{AnswerBroken, Piece, PieceSource};
 use super::attempt::{AttemptResult, ResumePoint};
 use super::event_stream::{Event, EventSplitter};
 use super::exchange::Exchange;
 use super::policy;
 use super::request_log::RequestEnd;
-use super::worker_answer::{BodyStep, WorkerAnswer};
+use super::response_body::{AnswerBroken, Piece, PieceSource};
+use super::worker_response::{BodyStep, WorkerAnswer};
 use bytes::{Bytes, BytesMut};
 use hyper::header::HeaderMap;
 use hyper::StatusCode;
--- a/src/data_plane/exchange.rs
+++ b/src/data_plane/exchange.rs
@@ -1,7 +1,7 @@
 //! State of one client request from admission to its response.
 
 use super::admission_stage::AdmittedRequest;
-use super::counted::Counted;
+use super::count_guard::Counted;
 use super::forwarded_request::ForwardedRequest;
 use super::policy;
 use super::replies::LocalReply;
--- a/src/data_plane/ingress.rs
+++ b/src/data_plane/ingress.rs
@@ -1,18 +1,18 @@
 //! Connections of clients, and what happens to a request before it is sent to a worker.
 
-use super::answer_body::AnswerBody;
 use super::connector;
-use super::counted::Counted;
+use super::count_guard::Counted;
 use super::delivery;
 use super::exchange::{deadline, request_profile, select_service, AttemptHistory, Exchange, RouteRules};
+use super::flush_tracking::{WatchedStream, Written};
 use super::forwarded_request::ForwardedRequest;
 use super::policy;
 use super::replies::LocalReply;
 use super::request_head::RequestHead;
 use super::request_log::Timeline;
+use super::response_body::AnswerBody;
 use super::shared::Shared;
 use super::shutdown::{Phase, ShutdownHandle};
-use super::watched_stream::{WatchedStream, Written};
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
--- a/src/data_plane/mod.rs
+++ b/src/data_plane/mod.rs
@@ -5,19 +5,20 @@
 //! carries them out on sockets.
 
 mod admission_stage;
-mod answer_body;
 mod attempt;
 mod clock;
 mod connection_headers;
+mod connection_limits;
 mod connector;
-mod counted;
+mod count_guard;
 mod delivery;
-mod descriptors;
 mod drain;
 mod event_stream;
+mod event_stream_response;
 mod exchange;
 mod expected_loads;
 mod feedback;
+mod flush_tracking;
 mod forwarded_request;
 mod ingress;
 #[cfg(test)]
@@ -26,7 +27,6 @@
 mod missing;
 mod outcome;
 mod outstanding;
-mod piped_answer;
 mod policy;
 mod pool;
 mod reachability;
@@ -34,6 +34,7 @@
 mod replies;
 mod request_head;
 mod request_log;
+mod response_body;
 mod running_requests;
 mod server;
 mod shared;
@@ -41,14 +42,13 @@
 mod signals;
 mod silence;
 mod statistics;
-mod stream_answer;
+mod streamed_response;
 #[cfg(test)]
 mod tests;
 mod view;
-mod watched_stream;
-mod worker_answer;
 mod worker_choice;
 mod worker_connection;
+mod worker_response;
 
 pub use clock::now_ms;
 pub use expected_loads::{ExpectedLoads, ModelKey};
--- a/src/data_plane/readiness.rs
+++ b/src/data_plane/readiness.rs
@@ -1,6 +1,6 @@
 //! HTTP endpoint for the platform's readiness checks.
 
-use super::answer_body::AnswerBody;
+use super::response_body::AnswerBody;
 use super::shared::Shared;
 use super::shutdown::Phase;
 use hyper::header::{HeaderValue, CONTENT_LENGTH};
--- a/src/data_plane/replies.rs
+++ b/src/data_plane/replies.rs
@@ -1,7 +1,7 @@
 //! Responses that the gatekeeper generates itself. None carries a worker's `Response-Stamp`.
 
-use super::answer_body::AnswerBody;
 use super::request_head::REQUEST_ID;
+use super::response_body::AnswerBody;
 use hyper::header::{HeaderValue, CONTENT_LENGTH, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
--- a/src/data_plane/shared.rs
+++ b/src/data_plane/shared.rs
@@ -2,7 +2,7 @@
 
 use super::admission_stage::AdmissionStage;
 use super::clock::now_ms;
-use super::descriptors::DescriptorShares;
+use super::connection_limits::DescriptorShares;
 use super::drain::FittingShare;
 use super::feedback::{Feedback, Summary, WorkerLoad};
 use super::invariants::Violations;
--- a/src/data_plane/piped_answer.rs
+++ b/src/data_plane/streamed_response.rs
@@ -1,9 +1,9 @@
 //! A long answer, passed on as it comes.
 
-use super::answer_body::{AnswerBroken, Piece, PieceSource};
 use super::exchange::Exchange;
 use super::request_log::RequestEnd;
-use super::worker_answer::{BodyStep, WorkerAnswer};
+use super::response_body::{AnswerBroken, Piece, PieceSource};
+use super::worker_response::{BodyStep, WorkerAnswer};
 use bytes::Bytes;
 use std::pin::Pin;
 use switchhill_routing::AttemptOutcome;
--- a/src/data_plane/tests.rs
+++ b/src/data_plane/tests.rs
@@ -15,7 +15,7 @@
 mod time_limits;
 mod unframed;
 
-use super::descriptors::DescriptorShares;
+use super::connection_limits::DescriptorShares;
 use super::event_stream::EventSplitter;
 use super::outcome::{classify, ResponseClass};
 use super::request_head::{ModelName, RequestHead};
--- a/src/data_plane/worker_connection.rs
+++ b/src/data_plane/worker_connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 connection to a worker.
 
 use super::connector::WorkerStream;
-use super::watched_stream::{WatchedStream, Written};
+use super::flush_tracking::{WatchedStream, Written};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
