--- a/src/data_plane/attempt.rs
+++ b/src/data_plane/attempt.rs
@@ -1,13 +1,13 @@
 //! One attempt at a worker: acquiring a connection, sending the request and classifying the response head.
 
 use super::exchange::Exchange;
-use super::forwarded_request::AttemptFields;
+use super::forwarded_request::AttemptHeaders;
 use super::outcome::{classify, ResponseClass};
 use super::outstanding::OutstandingAttempt;
 use super::policy;
 use super::pool::{Lease, LeaseError, LeaseLimits};
-use super::worker_connection::SendFailure;
-use super::worker_response::{BodyStart, WorkerAnswer};
+use super::worker_connection::SendError;
+use super::worker_response::{BufferedBody, WorkerResponse};
 use hyper::body::Incoming;
 use hyper::{Response, StatusCode};
 use switchhill_routing::{AttemptOutcome, WorkerKey};
@@ -25,7 +25,7 @@
 /// Result of an attempt.
 pub(crate) enum AttemptResult {
     /// The worker responded; the head is valid and the body follows.
-    Responded(Box<WorkerAnswer>),
+    Responded(Box<WorkerResponse>),
     /// Nothing was sent.
     NotSent,
     /// The worker proved with this status that it did not run the request.
@@ -40,7 +40,7 @@
 
 enum SendResult {
     Response(Response<Incoming>),
-    Failed(SendFailure),
+    Failed(SendError),
     /// All streams of the worker have stalled, and another worker can take the request.
     WorkerStalled,
     DeadlineExceeded,
@@ -125,10 +125,10 @@
         }
         match sent {
             SendResult::Response(response) => {
-                self.classify_response(WorkerAnswer::new(response, lease, attempt)).await
+                self.classify_response(WorkerResponse::new(response, lease, attempt)).await
             }
-            SendResult::Failed(SendFailure::NotSent) => self.undo_send(),
-            SendResult::Failed(SendFailure::Broken) => {
+            SendResult::Failed(SendError::NotSent) => self.undo_send(),
+            SendResult::Failed(SendError::Broken) => {
                 self.record_possible_run(attempt, AttemptOutcome::Broken)
             }
             SendResult::WorkerStalled => self.record_possible_run(attempt, AttemptOutcome::TimedOut),
@@ -166,8 +166,8 @@
     ) -> SendResult {
         let worker_id = self.shared.router.borrow().worker(worker).map(|view| view.id.clone());
         let worker_id = worker_id.unwrap_or_default();
-        self.timeline.sent(Instant::now(), &worker_id);
-        let fields = AttemptFields {
+        self.timeline.record_sent(Instant::now(), &worker_id);
+        let fields = AttemptHeaders {
             worker_id,
             time_left: self.time_left(),
             priority: self.rules.priority,
@@ -192,7 +192,7 @@
         }
     }
 
-    async fn classify_response(&mut self, response: WorkerAnswer) -> AttemptResult {
+    async fn classify_response(&mut self, response: WorkerResponse) -> AttemptResult {
         match classify(&response.head, self.request_id.as_ref()) {
             ResponseClass::Forward => AttemptResult::Responded(Box::new(response)),
             ResponseClass::NotRun(status) => {
@@ -209,15 +209,15 @@
     }
 
     /// Handles a refusal. The connection is kept if the body, which is short, arrives in time.
-    async fn handle_refusal(&self, mut response: WorkerAnswer, status: StatusCode) {
+    async fn handle_refusal(&self, mut response: WorkerResponse, status: StatusCode) {
         if status == StatusCode::MISDIRECTED_REQUEST {
             let worker = response.attempt.worker();
             self.shared.router.borrow_mut().model_not_loaded(self.shared.now(), worker, &self.profile);
         }
         let outcome = AttemptOutcome::NotExecuted(status.as_u16());
-        let body = response.read_start(policy::MAX_BUFFERED_RESPONSE_BYTES);
+        let body = response.read_up_to(policy::MAX_BUFFERED_RESPONSE_BYTES);
         match tokio::time::timeout(policy::REFUSAL_BODY_TIMEOUT, body).await {
-            Ok(BodyStart::Whole(_)) => response.complete(outcome),
+            Ok(BufferedBody::Complete(_)) => response.complete(outcome),
             _ => response.abandon(outcome),
         }
     }
--- a/src/data_plane/connector.rs
+++ b/src/data_plane/connector.rs
@@ -20,12 +20,12 @@
 impl<S: AsyncRead + AsyncWrite + Unpin> WorkerStream for S {}
 
 /// A stream that comes up. Dropping it gives the connection up.
-pub(crate) type Connecting = Pin<Box<dyn Future<Output = io::Result<Box<dyn WorkerStream>>>>>;
+pub(crate) type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Box<dyn WorkerStream>>>>>;
 
 /// Opens streams to workers.
 pub(crate) trait Connector: fmt::Debug {
     /// Connects; the caller bounds the time.
-    fn connect(&self, address: SocketAddr) -> Connecting;
+    fn connect(&self, address: SocketAddr) -> ConnectFuture;
 }
 
 /// Connects by TCP.
@@ -33,10 +33,10 @@
 pub(crate) struct TcpConnector;
 
 impl Connector for TcpConnector {
-    fn connect(&self, address: SocketAddr) -> Connecting {
+    fn connect(&self, address: SocketAddr) -> ConnectFuture {
         Box::pin(async move {
             let stream = TcpStream::connect(address).await?;
-            prepare(&stream, policy::WORKER_TCP_USER_TIMEOUT)?;
+            set_socket_options(&stream, policy::WORKER_TCP_USER_TIMEOUT)?;
             Ok(Box::new(stream) as Box<dyn WorkerStream>)
         })
     }
@@ -44,7 +44,7 @@
 
 /// Sends small writes at once, ends a connection whose other side has been silent for this long, and probes it
 /// while it rests.
-pub(crate) fn prepare(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+pub(crate) fn set_socket_options(stream: &TcpStream, silence: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(silence))?;
--- a/src/data_plane/count_guard.rs
+++ b/src/data_plane/count_guard.rs
@@ -5,19 +5,19 @@
 
 /// Counts one thing for as long as it lives.
 #[derive(Debug)]
-pub(crate) struct Counted {
+pub(crate) struct CountGuard {
     count: Rc<Cell<u32>>,
 }
 
-impl Counted {
+impl CountGuard {
     /// Counts one more.
-    pub(crate) fn one_more(count: &Rc<Cell<u32>>) -> Counted {
+    pub(crate) fn new(count: &Rc<Cell<u32>>) -> CountGuard {
         count.set(count.get() + 1);
-        Counted { count: count.clone() }
+        CountGuard { count: count.clone() }
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
     }
--- a/src/data_plane/delivery.rs
+++ b/src/data_plane/delivery.rs
@@ -2,15 +2,15 @@
 
 use super::attempt::{AttemptResult, ResumePoint};
 use super::connection_headers::remove_connection_headers;
-use super::event_stream_response::StreamAnswer;
+use super::event_stream_response::EventStreamResponse;
 use super::exchange::Exchange;
 use super::invariants::Invariant;
 use super::policy;
 use super::replies::LocalReply;
 use super::request_log::RequestEnd;
-use super::response_body::AnswerBody;
-use super::streamed_response::PipedAnswer;
-use super::worker_response::{BodyStart, WorkerAnswer};
+use super::response_body::ResponseBody;
+use super::streamed_response::StreamedResponse;
+use super::worker_response::{BufferedBody, WorkerResponse};
 use bytes::Bytes;
 use hyper::header::{HeaderValue, CONTENT_LENGTH};
 use hyper::http::response::Parts;
@@ -19,13 +19,13 @@
 
 /// Result of forwarding a worker's response.
 enum ForwardResult {
-    Started(Response<AnswerBody>),
+    Started(Response<ResponseBody>),
     Broken(Box<Exchange>),
     TimedOut(Box<Exchange>),
 }
 
 /// Handles a request: sends it to workers until one responds or the request is refused.
-pub(crate) async fn handle_request(mut exchange: Exchange) -> Response<AnswerBody> {
+pub(crate) async fn handle_request(mut exchange: Exchange) -> Response<ResponseBody> {
     loop {
         let worker = match exchange.select_worker().await {
             Ok(worker) => worker,
@@ -52,13 +52,13 @@
     }
 }
 
-fn refuse(exchange: &mut Exchange) -> Response<AnswerBody> {
+fn refuse(exchange: &mut Exchange) -> Response<ResponseBody> {
     let reply = exchange.refuse();
     local_response(exchange, reply)
 }
 
 /// Response of the gatekeeper itself, sent in place of a worker's.
-fn local_response(exchange: &mut Exchange, reply: LocalReply) -> Response<AnswerBody> {
+fn local_response(exchange: &mut Exchange, reply: LocalReply) -> Response<ResponseBody> {
     let promises_not_run = matches!(reply, LocalReply::NotRun { .. });
     if promises_not_run && exchange.running_entry.may_have_run() {
         exchange
@@ -66,38 +66,42 @@
             .violations
             .report(Invariant::NotRunReplyIsTrue, &format!("{:?}", exchange.request_id));
     }
-    exchange.timeline.end = RequestEnd::Own(reply);
+    exchange.timeline.end = RequestEnd::Local(reply);
     reply.response(exchange.request_id.as_ref())
 }
 
-async fn forward(exchange: Exchange, response: WorkerAnswer) -> ForwardResult {
+async fn forward(exchange: Exchange, response: WorkerResponse) -> ForwardResult {
     match response.is_event_stream() && exchange.request.method() != Method::HEAD {
         true => ForwardResult::Started(forward_stream(exchange, response)),
         false => forward_plain(exchange, response).await,
     }
 }
 
-fn forward_stream(exchange: Exchange, response: WorkerAnswer) -> Response<AnswerBody> {
+fn forward_stream(exchange: Exchange, response: WorkerResponse) -> Response<ResponseBody> {
     let mut head = client_response_head(&response.head);
     // The rest may come from another worker, so the length is not known in advance.
     head.headers.remove(CONTENT_LENGTH);
-    Response::from_parts(head, AnswerBody::pulled(StreamAnswer::new(exchange, response), None))
+    Response::from_parts(head, ResponseBody::streamed(EventStreamResponse::new(exchange, response), None))
 }
 
-async fn forward_plain(mut exchange: Exchange, mut response: WorkerAnswer) -> ForwardResult {
+async fn forward_plain(mut exchange: Exchange, mut response: WorkerResponse) -> ForwardResult {
     response.attempt.first_byte();
     exchange.record_response_data();
     let start = tokio::select! {
-        start = response.read_start(policy::MAX_BUFFERED_RESPONSE_BYTES) => start,
+        start = response.read_up_to(policy::MAX_BUFFERED_RESPONSE_BYTES) => start,
         () = tokio::time::sleep_until(exchange.deadline) => {
             response.abandon(AttemptOutcome::TimedOut);
             return ForwardResult::TimedOut(Box::new(exchange));
         }
     };
     match start {
-        BodyStart::Whole(body) => ForwardResult::Started(forward_buffered(&mut exchange, response, body)),
-        BodyStart::Longer(start) => ForwardResult::Started(forward_unbuffered(exchange, response, start)),
-        BodyStart::Broken => {
+        BufferedBody::Complete(body) => {
+            ForwardResult::Started(forward_buffered(&mut exchange, response, body))
+        }
+        BufferedBody::ExceedsLimit(start) => {
+            ForwardResult::Started(forward_unbuffered(exchange, response, start))
+        }
+        BufferedBody::Broken => {
             exchange.history.may_have_run = true;
             response.abandon(AttemptOutcome::Broken);
             ForwardResult::Broken(Box::new(exchange))
@@ -105,7 +109,11 @@
     }
 }
 
-fn forward_buffered(exchange: &mut Exchange, response: WorkerAnswer, body: Bytes) -> Response<AnswerBody> {
+fn forward_buffered(
+    exchange: &mut Exchange,
+    response: WorkerResponse,
+    body: Bytes,
+) -> Response<ResponseBody> {
     let mut head = client_response_head(&response.head);
     let has_body = exchange.request.method() != Method::HEAD
         && !matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
@@ -114,14 +122,17 @@
     }
     let outcome = response.outcome();
     response.complete(outcome);
-    exchange.timeline.end = RequestEnd::Answered;
-    Response::from_parts(head, AnswerBody::whole(body))
+    exchange.timeline.end = RequestEnd::Completed;
+    Response::from_parts(head, ResponseBody::full(body))
 }
 
-fn forward_unbuffered(exchange: Exchange, response: WorkerAnswer, start: Bytes) -> Response<AnswerBody> {
+fn forward_unbuffered(exchange: Exchange, response: WorkerResponse, start: Bytes) -> Response<ResponseBody> {
     let head = client_response_head(&response.head);
     let length = head.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse().ok());
-    Response::from_parts(head, AnswerBody::pulled(PipedAnswer::new(exchange, response, start), length))
+    Response::from_parts(
+        head,
+        ResponseBody::streamed(StreamedResponse::new(exchange, response, start), length),
+    )
 }
 
 /// Head of the response as the client receives it, without hop-by-hop headers.
--- a/src/data_plane/event_stream_response.rs
+++ b/src/data_plane/event_stream_response.rs
@@ -5,8 +5,8 @@
 use super::exchange::Exchange;
 use super::policy;
 use super::request_log::RequestEnd;
-use super::response_body::{AnswerBroken, Piece, PieceSource};
-use super::worker_response::{BodyStep, WorkerAnswer};
+use super::response_body::{ChunkSource, IncompleteResponse, Piece};
+use super::worker_response::{BodyRead, WorkerResponse};
 use bytes::{Bytes, BytesMut};
 use hyper::header::HeaderMap;
 use hyper::StatusCode;
@@ -15,9 +15,9 @@
 use tokio::time::Sleep;
 
 /// The body of a stream of events.
-pub(crate) struct StreamAnswer {
+pub(crate) struct EventStreamResponse {
     exchange: Exchange,
-    answer: Option<WorkerAnswer>,
+    answer: Option<WorkerResponse>,
     splitter: EventSplitter,
     position: Position,
     deadline: Pin<Box<Sleep>>,
@@ -41,21 +41,21 @@
 }
 
 enum Step {
-    Body(BodyStep),
+    Body(BodyRead),
     WorkerSilent,
     DeadlinePassed,
 }
 
-impl StreamAnswer {
+impl EventStreamResponse {
     /// A stream that begins with this answer.
-    pub(crate) fn new(exchange: Exchange, answer: WorkerAnswer) -> StreamAnswer {
+    pub(crate) fn new(exchange: Exchange, answer: WorkerResponse) -> EventStreamResponse {
         let deadline = Box::pin(tokio::time::sleep_until(exchange.deadline));
         let position = Position {
             last_id: exchange.last_event_id,
             versions: versions(&answer.head.headers),
             ..Position::default()
         };
-        StreamAnswer {
+        EventStreamResponse {
             exchange,
             answer: Some(answer),
             splitter: EventSplitter::default(),
@@ -94,21 +94,21 @@
         let answer = self.answer.take()?;
         let outcome = answer.outcome();
         answer.complete(outcome);
-        self.exchange.timeline.end = RequestEnd::Answered;
+        self.exchange.timeline.end = RequestEnd::Completed;
         let rest = self.splitter.take_rest();
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
     /// Whether an end of the body here is one in the middle of an event that no length has announced.
     fn ends_within_event(&self) -> bool {
-        !self.splitter.is_empty() && self.answer.as_ref().is_some_and(WorkerAnswer::ends_with_connection)
+        !self.splitter.is_empty() && self.answer.as_ref().is_some_and(WorkerResponse::ends_with_connection)
     }
 
     fn abort(&mut self, outcome: AttemptOutcome) -> Piece {
         if let Some(answer) = self.answer.take() {
             answer.abandon(outcome);
         }
-        Some(Err(AnswerBroken))
+        Some(Err(IncompleteResponse))
     }
 
     /// Whether another worker could go on with the stream.
@@ -154,14 +154,14 @@
         None
     }
 
-    fn go_on_with(&mut self, answer: WorkerAnswer) {
+    fn go_on_with(&mut self, answer: WorkerResponse) {
         self.splitter.clear();
         self.position.resume_with(versions(&answer.head.headers));
         self.answer = Some(answer);
     }
 }
 
-impl PieceSource for StreamAnswer {
+impl ChunkSource for EventStreamResponse {
     async fn next_piece(&mut self) -> Piece {
         let mut pending = None;
         loop {
@@ -170,7 +170,7 @@
                 None => self.next_step().await?,
             };
             let outcome = match step {
-                Step::Body(BodyStep::Data(data)) => {
+                Step::Body(BodyRead::Data(data)) => {
                     let events = self.whole_events(&data);
                     if events.is_empty() {
                         continue;
@@ -181,8 +181,8 @@
                     }
                     return Some(Ok(events));
                 }
-                Step::Body(BodyStep::End) if !self.ends_within_event() => return self.end(),
-                Step::Body(BodyStep::End | BodyStep::Broken) => AttemptOutcome::Broken,
+                Step::Body(BodyRead::End) if !self.ends_within_event() => return self.end(),
+                Step::Body(BodyRead::End | BodyRead::Broken) => AttemptOutcome::Broken,
                 Step::WorkerSilent if !self.can_move() => {
                     self.stays = true;
                     continue;
@@ -227,7 +227,7 @@
 
 impl Exchange {
     /// The rest of a stream from another worker; gives up when none may be asked or the time for it is over.
-    async fn resume(&mut self, last_event_id: Option<u64>, versions: Option<u64>) -> Option<WorkerAnswer> {
+    async fn resume(&mut self, last_event_id: Option<u64>, versions: Option<u64>) -> Option<WorkerResponse> {
         self.history.may_have_run = true;
         let resumed = self.ask_for_rest(last_event_id, versions);
         tokio::time::timeout(policy::RESUME_TIMEOUT, resumed).await.ok().flatten()
@@ -237,7 +237,7 @@
         &mut self,
         last_event_id: Option<u64>,
         versions: Option<u64>,
-    ) -> Option<WorkerAnswer> {
+    ) -> Option<WorkerResponse> {
         let mut point = ResumePoint { last_event_id, expect_version: versions };
         while self.may_retry() {
             let Choice::Send(worker) = self.choose_worker() else {
--- a/src/data_plane/exchange.rs
+++ b/src/data_plane/exchange.rs
@@ -1,7 +1,7 @@
 //! State of one client request from admission to its response.
 
 use super::admission_stage::AdmittedRequest;
-use super::count_guard::Counted;
+use super::count_guard::CountGuard;
 use super::forwarded_request::ForwardedRequest;
 use super::policy;
 use super::replies::LocalReply;
@@ -57,7 +57,7 @@
     pub(crate) history: AttemptHistory,
     pub(crate) running_entry: RunningEntry,
     pub(crate) timeline: Timeline,
-    pub(crate) _running: Counted,
+    pub(crate) _running: CountGuard,
     pub(crate) _running_demand: RunningDemand,
 }
 
@@ -128,7 +128,7 @@
         if let Some(admitted) = &mut self.admitted {
             admitted.record_first_byte(self.shared.now());
         }
-        self.timeline.piece(Instant::now());
+        self.timeline.record_chunk(Instant::now());
     }
 
     /// Whether the request may be attempted again. The retry budget is charged when the request is sent.
--- a/src/data_plane/flush_tracking.rs
+++ b/src/data_plane/flush_tracking.rs
@@ -15,17 +15,17 @@
 
 /// Whether all that was to be written has been.
 #[derive(Debug, Default)]
-pub(crate) struct Written {
+pub(crate) struct FlushState {
     pending: Cell<bool>,
     flushed: Notify,
     /// Streams that have something to write, where they are counted.
     count: Option<Rc<Cell<u32>>>,
 }
 
-impl Written {
+impl FlushState {
     /// One that counts its stream for as long as something waits to be written.
-    pub(crate) fn counted(count: Rc<Cell<u32>>) -> Written {
-        Written { pending: Cell::default(), flushed: Notify::default(), count: Some(count) }
+    pub(crate) fn counted(count: Rc<Cell<u32>>) -> FlushState {
+        FlushState { pending: Cell::default(), flushed: Notify::default(), count: Some(count) }
     }
 
     fn set_pending(&self, pending: bool) {
@@ -48,26 +48,26 @@
     }
 }
 
-impl Drop for Written {
+impl Drop for FlushState {
     fn drop(&mut self) {
         self.set_pending(false);
     }
 }
 
-/// A stream with its [`Written`].
-pub(crate) struct WatchedStream<S> {
+/// A stream with its [`FlushState`].
+pub(crate) struct FlushTrackingStream<S> {
     stream: S,
-    written: Rc<Written>,
+    written: Rc<FlushState>,
 }
 
-impl<S> WatchedStream<S> {
+impl<S> FlushTrackingStream<S> {
     /// Watches a stream.
-    pub(crate) fn new(stream: S, written: Rc<Written>) -> WatchedStream<S> {
-        WatchedStream { stream, written }
+    pub(crate) fn new(stream: S, written: Rc<FlushState>) -> FlushTrackingStream<S> {
+        FlushTrackingStream { stream, written }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for WatchedStream<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for FlushTrackingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -77,7 +77,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for WatchedStream<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for FlushTrackingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/src/data_plane/forwarded_request.rs
+++ b/src/data_plane/forwarded_request.rs
@@ -23,7 +23,7 @@
 
 /// What differs from one attempt to the next.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct AttemptFields {
+pub(crate) struct AttemptHeaders {
     pub(crate) worker_id: String,
     pub(crate) time_left: Duration,
     pub(crate) priority: u8,
@@ -51,7 +51,7 @@
     }
 
     /// The request as one worker gets it.
-    pub(crate) fn for_worker(&self, fields: &AttemptFields) -> Request<Full<Bytes>> {
+    pub(crate) fn for_worker(&self, fields: &AttemptHeaders) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
@@ -61,7 +61,7 @@
     }
 }
 
-fn set_attempt_headers(headers: &mut HeaderMap, fields: &AttemptFields) {
+fn set_attempt_headers(headers: &mut HeaderMap, fields: &AttemptHeaders) {
     let left = u64::try_from(fields.time_left.as_millis()).unwrap_or(u64::MAX).max(1);
     headers.insert(REQUEST_DEADLINE, HeaderValue::from(left));
     headers.insert("priority", HeaderValue::from(u16::from(fields.priority.min(LAST_PRIORITY))));
--- a/src/data_plane/ingress.rs
+++ b/src/data_plane/ingress.rs
@@ -1,16 +1,16 @@
 //! Connections of clients, and what happens to a request before it is sent to a worker.
 
 use super::connector;
-use super::count_guard::Counted;
+use super::count_guard::CountGuard;
 use super::delivery;
 use super::exchange::{deadline, request_profile, select_service, AttemptHistory, Exchange, RouteRules};
-use super::flush_tracking::{WatchedStream, Written};
+use super::flush_tracking::{FlushState, FlushTrackingStream};
 use super::forwarded_request::ForwardedRequest;
 use super::policy;
 use super::replies::LocalReply;
 use super::request_head::RequestHead;
 use super::request_log::Timeline;
-use super::response_body::AnswerBody;
+use super::response_body::ResponseBody;
 use super::shared::Shared;
 use super::shutdown::{Phase, ShutdownHandle};
 use bytes::Bytes;
@@ -33,7 +33,7 @@
 
 /// Accepts clients until the phase in which no new connection is taken.
 pub(crate) async fn accept(shared: Rc<Shared>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(shared.descriptors.clients));
+    let places = Arc::new(Semaphore::new(shared.connection_limits.clients));
     let closing = shared.shutdown.clone();
     tokio::select! {
         () = accept_all(&shared, &listener, &places) => {}
@@ -63,7 +63,7 @@
 }
 
 async fn serve_connection(shared: Rc<Shared>, stream: TcpStream, _place: OwnedSemaphorePermit) {
-    if let Err(error) = connector::prepare(&stream, policy::CLIENT_TCP_USER_TIMEOUT) {
+    if let Err(error) = connector::set_socket_options(&stream, policy::CLIENT_TCP_USER_TIMEOUT) {
         log::debug!("socket options of a client: {error}");
     }
     serve_stream(shared, stream).await;
@@ -71,11 +71,11 @@
 
 /// Serves the requests of one client until its connection ends.
 pub(crate) async fn serve_stream(shared: Rc<Shared>, stream: impl AsyncRead + AsyncWrite + Unpin + 'static) {
-    let _open = Counted::one_more(&shared.client_connections);
+    let _open = CountGuard::new(&shared.client_connections);
     let limits = client_limits(&shared);
     let service = service_fn(|request| respond(shared.clone(), request));
-    let written = Rc::new(Written::counted(shared.unwritten_connections.clone()));
-    let stream = TokioIo::new(WatchedStream::new(stream, written));
+    let written = Rc::new(FlushState::counted(shared.unwritten_connections.clone()));
+    let stream = TokioIo::new(FlushTrackingStream::new(stream, written));
     let connection = connection_settings(&limits).serve_connection(stream, service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
@@ -108,7 +108,10 @@
     settings
 }
 
-async fn respond(shared: Rc<Shared>, request: Request<Incoming>) -> Result<Response<AnswerBody>, Infallible> {
+async fn respond(
+    shared: Rc<Shared>,
+    request: Request<Incoming>,
+) -> Result<Response<ResponseBody>, Infallible> {
     let mut answer = answer_request(&shared, request).await;
     if shared.shutdown.phase() != Phase::Serving {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -116,11 +119,11 @@
     Ok(answer)
 }
 
-async fn answer_request(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn answer_request(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<ResponseBody> {
     let arrived = Instant::now();
-    let running = Counted::one_more(&shared.running);
+    let running = CountGuard::new(&shared.running);
     let (parts, body) = request.into_parts();
-    let head = RequestHead::read(&parts);
+    let head = RequestHead::parse(&parts);
     let request_id = head.request_id.clone();
     let time = body_time(shared, &head);
     let read = tokio::time::timeout_at(arrived + time, read_body(shared, body)).await;
@@ -173,7 +176,7 @@
     head: &RequestHead,
     request: ForwardedRequest,
     arrived: Instant,
-    running: Counted,
+    running: CountGuard,
 ) -> Result<Exchange, LocalReply> {
     let profile = request_profile(route, head, select_service(route, head));
     let now = shared.now();
@@ -202,7 +205,7 @@
         admitted: Some(admitted),
         history: AttemptHistory::default(),
         running_entry,
-        timeline: Timeline::of(route),
+        timeline: Timeline::new(route),
         _running: running,
         _running_demand: running_demand,
     })
--- a/src/data_plane/interleavings.rs
+++ b/src/data_plane/interleavings.rs
@@ -4,7 +4,7 @@
 //! waits. The types are the program's; waits never time out here, so a wake-up that is lost is a deadlock, which the run
 //! reports.
 
-use super::server::take_views;
+use super::server::apply_views;
 use super::shared::Shared;
 use super::shutdown::{Phase, ShutdownHandle};
 use super::silence::StalledWorkers;
@@ -71,7 +71,7 @@
     let shared = shared();
     shared.apply_view(received.borrow().clone());
     let worker = key(&shared);
-    let taking = spawn_local(take_views(shared.clone(), received));
+    let taking = spawn_local(apply_views(shared.clone(), received));
     let waiting = {
         let shared = shared.clone();
         spawn_local(async move { shared.worker_becomes_unavailable(worker).await })
--- a/src/data_plane/pool.rs
+++ b/src/data_plane/pool.rs
@@ -127,7 +127,7 @@
             ErrorKind::ConnectionRefused => LeaseError::Refused,
             _ => LeaseError::ConnectFailed,
         })?;
-        WorkerConnection::over(stream).await.map_err(|_| LeaseError::ConnectFailed)
+        WorkerConnection::handshake(stream).await.map_err(|_| LeaseError::ConnectFailed)
     }
 
     /// Probes a worker after one of its connections has failed. Closes its idle connections, which are likely
--- a/src/data_plane/readiness.rs
+++ b/src/data_plane/readiness.rs
@@ -1,6 +1,6 @@
 //! HTTP endpoint for the platform's readiness checks.
 
-use super::response_body::AnswerBody;
+use super::response_body::ResponseBody;
 use super::shared::Shared;
 use super::shutdown::Phase;
 use hyper::header::{HeaderValue, CONTENT_LENGTH};
@@ -46,9 +46,9 @@
     }
 }
 
-fn readiness_response(shared: &Shared, path: &str) -> Response<AnswerBody> {
+fn readiness_response(shared: &Shared, path: &str) -> Response<ResponseBody> {
     let is_ready = shared.shutdown.phase() == Phase::Serving && shared.view().is_ready();
-    let mut response = Response::new(AnswerBody::empty());
+    let mut response = Response::new(ResponseBody::empty());
     *response.status_mut() = match (path, is_ready) {
         (READY_PATH, true) => StatusCode::OK,
         (READY_PATH, false) => StatusCode::SERVICE_UNAVAILABLE,
--- a/src/data_plane/replies.rs
+++ b/src/data_plane/replies.rs
@@ -1,7 +1,7 @@
 //! Responses that the gatekeeper generates itself. None carries a worker's `Response-Stamp`.
 
 use super::request_head::REQUEST_ID;
-use super::response_body::AnswerBody;
+use super::response_body::ResponseBody;
 use hyper::header::{HeaderValue, CONTENT_LENGTH, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
@@ -40,8 +40,8 @@
     }
 
     /// Builds the response to the request with this id.
-    pub(crate) fn response(self, request_id: Option<&HeaderValue>) -> Response<AnswerBody> {
-        let mut response = Response::new(AnswerBody::empty());
+    pub(crate) fn response(self, request_id: Option<&HeaderValue>) -> Response<ResponseBody> {
+        let mut response = Response::new(ResponseBody::empty());
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_LENGTH, HeaderValue::from(0));
--- a/src/data_plane/request_head.rs
+++ b/src/data_plane/request_head.rs
@@ -35,7 +35,7 @@
 
 impl RequestHead {
     /// Reads a head. A header that cannot be read counts as absent.
-    pub(crate) fn read(parts: &Parts) -> RequestHead {
+    pub(crate) fn parse(parts: &Parts) -> RequestHead {
         let headers = &parts.headers;
         let (prompt_tokens, output_tokens) = text(headers, "token-usage").map_or((0, 0), read_token_usage);
         RequestHead {
--- a/src/data_plane/request_log.rs
+++ b/src/data_plane/request_log.rs
@@ -1,7 +1,7 @@
 //! One line of the log for each request that was answered late, refused, or not answered whole.
 //!
 //! The line tells where the time went: the wait for a worker, the wait for the first byte, the longest pause of a
-//! stream. Lines are bounded by [`LineBudget`], so that a day on which everything is late costs no more than this.
+//! stream. Lines are bounded by [`LogRateLimiter`], so that a day on which everything is late costs no more than this.
 
 use super::exchange::{AttemptHistory, Exchange};
 use super::replies::LocalReply;
@@ -19,7 +19,7 @@
 
 /// A token bucket over the lines of one process.
 #[derive(Debug)]
-pub(crate) struct LineBudget {
+pub(crate) struct LogRateLimiter {
     lines: Cell<f64>,
     at: Cell<Instant>,
     /// Lines left out since the last one written.
@@ -31,11 +31,11 @@
 pub(crate) enum RequestEnd {
     /// The answer was not passed on whole: its worker, its client or this process left first, or its time was over.
     #[default]
-    Cut,
+    Incomplete,
     /// A worker's whole answer.
-    Answered,
+    Completed,
     /// The gatekeeper's own answer.
-    Own(LocalReply),
+    Local(LocalReply),
 }
 
 /// When the parts of one request's answer came.
@@ -65,13 +65,17 @@
     now: Instant,
 }
 
-impl Default for LineBudget {
+impl Default for LogRateLimiter {
     fn default() -> Self {
-        LineBudget { lines: Cell::new(MOST_LINES), at: Cell::new(Instant::now()), left_out: Cell::default() }
+        LogRateLimiter {
+            lines: Cell::new(MOST_LINES),
+            at: Cell::new(Instant::now()),
+            left_out: Cell::default(),
+        }
     }
 }
 
-impl LineBudget {
+impl LogRateLimiter {
     /// Whether a line may be written now, and if so how many were left out before it.
     pub(crate) fn take(&self, now: Instant) -> Option<u32> {
         let elapsed = now.saturating_duration_since(self.at.replace(now));
@@ -88,7 +92,7 @@
 
 impl Timeline {
     /// A request of the route that has just been admitted.
-    pub(crate) fn of(route: &Route) -> Timeline {
+    pub(crate) fn new(route: &Route) -> Timeline {
         Timeline {
             route: route.name.clone(),
             aim: Duration::from_millis(route.target_latency_ms),
@@ -105,18 +109,18 @@
     }
 
     /// The request waits for a model, an adapter or a first worker.
-    pub(crate) fn waits_for_model(&mut self) {
+    pub(crate) fn record_model_wait(&mut self) {
         self.waited_for_model = true;
     }
 
     /// The request is being written to a worker.
-    pub(crate) fn sent(&mut self, now: Instant, worker: &str) {
+    pub(crate) fn record_sent(&mut self, now: Instant, worker: &str) {
         self.sent_at.get_or_insert(now);
         worker.clone_into(&mut self.worker);
     }
 
     /// Bytes of the answer are passed on.
-    pub(crate) fn piece(&mut self, now: Instant) {
+    pub(crate) fn record_chunk(&mut self, now: Instant) {
         self.pieces += 1;
         self.first_byte_at.get_or_insert(now);
         if let Some(last) = self.last_event_at.replace(now) {
@@ -128,7 +132,7 @@
     pub(crate) fn is_notable(&self, arrived: Instant) -> bool {
         let late = self.first_byte_at.is_some_and(|at| at.saturating_duration_since(arrived) > self.aim);
         let paused = self.longest_gap_allowed.is_some_and(|allowed| self.longest_gap > allowed);
-        self.end != RequestEnd::Answered || late || paused
+        self.end != RequestEnd::Completed || late || paused
     }
 }
 
@@ -139,10 +143,10 @@
             at.map_or(-1, |at| at.saturating_duration_since(*arrived).as_millis() as i64)
         };
         let end = match timeline.end {
-            RequestEnd::Cut => "cut",
-            RequestEnd::Answered => "late",
-            RequestEnd::Own(LocalReply::NotRun { .. }) => "refused",
-            RequestEnd::Own(_) => "failed",
+            RequestEnd::Incomplete => "cut",
+            RequestEnd::Completed => "late",
+            RequestEnd::Local(LocalReply::NotRun { .. }) => "refused",
+            RequestEnd::Local(_) => "failed",
         };
         write!(
             out,
@@ -171,7 +175,7 @@
             return;
         }
         let now = Instant::now();
-        let Some(left_out) = self.shared.line_budget.take(now) else { return };
+        let Some(left_out) = self.shared.log_rate_limiter.take(now) else { return };
         let line = Line {
             timeline: &self.timeline,
             profile: &self.profile,
--- a/src/data_plane/response_body.rs
+++ b/src/data_plane/response_body.rs
@@ -9,13 +9,13 @@
 /// The answer cannot be completed; the client's connection is closed so that it does not look complete.
 #[derive(Debug, thiserror::Error)]
 #[error("the worker's answer broke off")]
-pub(crate) struct AnswerBroken;
+pub(crate) struct IncompleteResponse;
 
 /// The next piece of a body, or `None` at its proper end.
-pub(crate) type Piece = Option<Result<Bytes, AnswerBroken>>;
+pub(crate) type Piece = Option<Result<Bytes, IncompleteResponse>>;
 
 /// What produces a body. Dropping it gives up the rest.
-pub(crate) trait PieceSource: Sized + 'static {
+pub(crate) trait ChunkSource: Sized + 'static {
     /// Waits for the next piece.
     fn next_piece(&mut self) -> impl Future<Output = Piece>;
 }
@@ -26,7 +26,7 @@
     fn pull(self: Box<Self>) -> Pull;
 }
 
-impl<S: PieceSource> Pullable for S {
+impl<S: ChunkSource> Pullable for S {
     fn pull(mut self: Box<Self>) -> Pull {
         Box::pin(async move {
             let piece = self.next_piece().await;
@@ -36,7 +36,7 @@
 }
 
 /// Body of an answer.
-pub(crate) enum AnswerBody {
+pub(crate) enum ResponseBody {
     /// Bytes that are all there, until they are taken.
     Whole(Option<Bytes>),
     /// A body that comes piece by piece.
@@ -49,21 +49,21 @@
     length: Option<u64>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body without bytes.
-    pub(crate) fn empty() -> AnswerBody {
-        AnswerBody::Whole(None)
+    pub(crate) fn empty() -> ResponseBody {
+        ResponseBody::Whole(None)
     }
 
     /// A body that is all there.
-    pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
-        AnswerBody::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()))
+    pub(crate) fn full(bytes: Bytes) -> ResponseBody {
+        ResponseBody::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()))
     }
 
     /// A body pulled from its source; `length` where it is known.
-    pub(crate) fn pulled(source: impl PieceSource, length: Option<u64>) -> AnswerBody {
+    pub(crate) fn streamed(source: impl ChunkSource, length: Option<u64>) -> ResponseBody {
         let source: Box<dyn Pullable> = Box::new(source);
-        AnswerBody::Pulled(PulledBody { pull: Some(source.pull()), length })
+        ResponseBody::Pulled(PulledBody { pull: Some(source.pull()), length })
     }
 }
 
@@ -81,34 +81,34 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerBroken;
+    type Error = IncompleteResponse;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteResponse>>> {
         let piece = match self.get_mut() {
-            AnswerBody::Whole(bytes) => bytes.take().map(Ok),
-            AnswerBody::Pulled(body) => ready!(body.poll_piece(context)),
+            ResponseBody::Whole(bytes) => bytes.take().map(Ok),
+            ResponseBody::Pulled(body) => ready!(body.poll_piece(context)),
         };
         Poll::Ready(piece.map(|result| result.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Whole(bytes) => bytes.is_none(),
-            AnswerBody::Pulled(body) => body.pull.is_none(),
+            ResponseBody::Whole(bytes) => bytes.is_none(),
+            ResponseBody::Pulled(body) => body.pull.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => {
+            ResponseBody::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            AnswerBody::Pulled(body) => body.length.map(SizeHint::with_exact).unwrap_or_default(),
+            ResponseBody::Pulled(body) => body.length.map(SizeHint::with_exact).unwrap_or_default(),
         }
     }
 }
--- a/src/data_plane/server.rs
+++ b/src/data_plane/server.rs
@@ -73,8 +73,8 @@
         let shared = Rc::new(Shared::new(self.settings, feedback, self.shutdown));
         // Dropping the set at the end aborts the tasks.
         let mut tasks = JoinSet::new();
-        tasks.spawn_local(take_views(shared.clone(), views));
-        spawn_repeated_work(&shared, &mut tasks);
+        tasks.spawn_local(apply_views(shared.clone(), views));
+        spawn_periodic_tasks(&shared, &mut tasks);
         tasks.spawn_local(signals::reload_at_sighup(shared.clone()));
         tasks.spawn_local(ingress::accept(shared.clone(), self.http));
         if let Some(listener) = self.readiness {
@@ -89,7 +89,7 @@
 type RepeatedWork = (Duration, fn(&Shared));
 
 /// Starts what the data plane does by the clock.
-pub(crate) fn spawn_repeated_work(shared: &Rc<Shared>, tasks: &mut JoinSet<()>) {
+pub(crate) fn spawn_periodic_tasks(shared: &Rc<Shared>, tasks: &mut JoinSet<()>) {
     let repeated: [RepeatedWork; 4] = [
         (policy::HOUSEKEEPING_INTERVAL, Shared::tick),
         (policy::SUMMARY_INTERVAL, Shared::summarize),
@@ -113,7 +113,7 @@
 }
 
 /// Hands each new view over to the shared state, until the agent's side has gone.
-pub(super) async fn take_views(shared: Rc<Shared>, mut views: watch::Receiver<Arc<View>>) {
+pub(super) async fn apply_views(shared: Rc<Shared>, mut views: watch::Receiver<Arc<View>>) {
     loop {
         let view = views.borrow_and_update().clone();
         shared.apply_view(view);
--- a/src/data_plane/shared.rs
+++ b/src/data_plane/shared.rs
@@ -2,7 +2,7 @@
 
 use super::admission_stage::AdmissionStage;
 use super::clock::now_ms;
-use super::connection_limits::DescriptorShares;
+use super::connection_limits::ConnectionLimits;
 use super::drain::FittingShare;
 use super::feedback::{Feedback, Summary, WorkerLoad};
 use super::invariants::Violations;
@@ -10,7 +10,7 @@
 use super::policy;
 use super::pool::Pool;
 use super::reachability::ReachabilityReports;
-use super::request_log::LineBudget;
+use super::request_log::LogRateLimiter;
 use super::running_requests::RunningRequests;
 use super::shutdown::{Phase, ShutdownHandle, ShutdownTimes};
 use super::silence::StalledWorkers;
@@ -43,7 +43,7 @@
     pub(crate) fixed_shutdown_times: Cell<Option<ShutdownTimes>>,
     pub(crate) running_requests: RunningRequests,
     pub(crate) violations: Violations,
-    pub(crate) line_budget: LineBudget,
+    pub(crate) log_rate_limiter: LogRateLimiter,
     pub(crate) reachability: ReachabilityReports,
     /// Notified after the router has applied a new view.
     pub(crate) view_changed: Notify,
@@ -55,7 +55,7 @@
     pub(crate) client_connections: Rc<Cell<u32>>,
     /// Number of client connections with written data that the client has not read yet.
     pub(crate) unwritten_connections: Rc<Cell<u32>>,
-    pub(crate) descriptors: DescriptorShares,
+    pub(crate) connection_limits: ConnectionLimits,
     view: RefCell<Arc<View>>,
     feedback: UnboundedSender<Feedback>,
     last_summary_at: Cell<u64>,
@@ -68,13 +68,13 @@
         feedback: UnboundedSender<Feedback>,
         shutdown: ShutdownHandle,
     ) -> Shared {
-        let descriptors = DescriptorShares::of(settings.limits.max_fds);
+        let connection_limits = ConnectionLimits::from_fd_limit(settings.limits.max_fds);
         Shared {
             router: RefCell::new(Router::new(router_settings(&settings), fastrand::u64(..))),
             retry_budget: RefCell::new(retry_budget(&settings)),
             admission: Rc::new(AdmissionStage::new(settings.decisions.admission, fastrand::u64(..))),
             settings: RefCell::new(settings),
-            pool: Pool::new(descriptors.workers),
+            pool: Pool::new(connection_limits.workers),
             statistics: RefCell::default(),
             missing_models: MissingModels::default(),
             stalled_workers: StalledWorkers::default(),
@@ -83,14 +83,14 @@
             fixed_shutdown_times: Cell::default(),
             running_requests: RunningRequests::default(),
             violations: Violations::default(),
-            line_budget: LineBudget::default(),
+            log_rate_limiter: LogRateLimiter::default(),
             reachability: ReachabilityReports::default(),
             view_changed: Notify::new(),
             expected_loads_changed: Notify::new(),
             running: Rc::default(),
             client_connections: Rc::default(),
             unwritten_connections: Rc::default(),
-            descriptors,
+            connection_limits,
             view: RefCell::default(),
             feedback,
             last_summary_at: Cell::new(now_ms()),
--- a/src/data_plane/streamed_response.rs
+++ b/src/data_plane/streamed_response.rs
@@ -2,38 +2,38 @@
 
 use super::exchange::Exchange;
 use super::request_log::RequestEnd;
-use super::response_body::{AnswerBroken, Piece, PieceSource};
-use super::worker_response::{BodyStep, WorkerAnswer};
+use super::response_body::{ChunkSource, IncompleteResponse, Piece};
+use super::worker_response::{BodyRead, WorkerResponse};
 use bytes::Bytes;
 use std::pin::Pin;
 use switchhill_routing::AttemptOutcome;
 use tokio::time::Sleep;
 
 /// The body of a long answer.
-pub(crate) struct PipedAnswer {
+pub(crate) struct StreamedResponse {
     // Held until the answer ends: it counts as a running request.
     exchange: Exchange,
-    answer: Option<WorkerAnswer>,
+    answer: Option<WorkerResponse>,
     start: Option<Bytes>,
     deadline: Pin<Box<Sleep>>,
 }
 
-impl PipedAnswer {
+impl StreamedResponse {
     /// A body that begins with `start`.
-    pub(crate) fn new(exchange: Exchange, answer: WorkerAnswer, start: Bytes) -> PipedAnswer {
+    pub(crate) fn new(exchange: Exchange, answer: WorkerResponse, start: Bytes) -> StreamedResponse {
         let deadline = Box::pin(tokio::time::sleep_until(exchange.deadline));
-        PipedAnswer { exchange, answer: Some(answer), start: Some(start), deadline }
+        StreamedResponse { exchange, answer: Some(answer), start: Some(start), deadline }
     }
 
     fn end(&mut self, outcome: AttemptOutcome) -> Piece {
         if let Some(answer) = self.answer.take() {
             answer.abandon(outcome);
         }
-        Some(Err(AnswerBroken))
+        Some(Err(IncompleteResponse))
     }
 }
 
-impl PieceSource for PipedAnswer {
+impl ChunkSource for StreamedResponse {
     async fn next_piece(&mut self) -> Piece {
         if let Some(start) = self.start.take() {
             return Some(Ok(start));
@@ -45,13 +45,13 @@
             () = &mut self.deadline => return self.end(AttemptOutcome::TimedOut),
         };
         match step {
-            BodyStep::Data(data) => Some(Ok(data)),
-            BodyStep::Broken => self.end(AttemptOutcome::Broken),
-            BodyStep::End => {
+            BodyRead::Data(data) => Some(Ok(data)),
+            BodyRead::Broken => self.end(AttemptOutcome::Broken),
+            BodyRead::End => {
                 let answer = self.answer.take()?;
                 let outcome = answer.outcome();
                 answer.complete(outcome);
-                self.exchange.timeline.end = RequestEnd::Answered;
+                self.exchange.timeline.end = RequestEnd::Completed;
                 None
             }
         }
--- a/src/data_plane/tests.rs
+++ b/src/data_plane/tests.rs
@@ -15,7 +15,7 @@
 mod time_limits;
 mod unframed;
 
-use super::connection_limits::DescriptorShares;
+use super::connection_limits::ConnectionLimits;
 use super::event_stream::EventSplitter;
 use super::outcome::{classify, ResponseClass};
 use super::request_head::{ModelName, RequestHead};
@@ -30,7 +30,7 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    RequestHead::read(&request.body(()).unwrap().into_parts().0)
+    RequestHead::parse(&request.body(()).unwrap().into_parts().0)
 }
 
 #[gtest]
@@ -134,9 +134,9 @@
 
 #[gtest]
 fn descriptors_are_shared_out_below_their_bound() {
-    let shares = DescriptorShares::of(4100);
+    let shares = ConnectionLimits::from_fd_limit(4100);
     expect_that!(shares.clients as u64 + u64::from(shares.workers), le(4100 - 200));
-    expect_that!(DescriptorShares::of(0), eq(DescriptorShares { clients: 1, workers: 1 }));
+    expect_that!(ConnectionLimits::from_fd_limit(0), eq(ConnectionLimits { clients: 1, workers: 1 }));
 }
 
 #[gtest]
--- a/src/data_plane/tests/reachability.rs
+++ b/src/data_plane/tests/reachability.rs
@@ -1,6 +1,6 @@
 //! Why a connection to a worker did not come up, and what the agent is told of it.
 
-use super::super::connector::{Connecting, Connector};
+use super::super::connector::{ConnectFuture, Connector};
 use super::super::feedback::Feedback;
 use super::super::pool::{LeaseError, LeaseLimits, Pool};
 use super::super::shared::Shared;
@@ -21,7 +21,7 @@
 struct Failing(Option<ErrorKind>);
 
 impl Connector for Failing {
-    fn connect(&self, _address: SocketAddr) -> Connecting {
+    fn connect(&self, _address: SocketAddr) -> ConnectFuture {
         let kind = self.0;
         Box::pin(async move {
             match kind {
--- a/src/data_plane/tests/request_log.rs
+++ b/src/data_plane/tests/request_log.rs
@@ -1,7 +1,7 @@
 //! Which requests get a line in the log, and how many lines there may be.
 
 use super::super::replies::LocalReply;
-use super::super::request_log::{LineBudget, RequestEnd, Timeline};
+use super::super::request_log::{LogRateLimiter, RequestEnd, Timeline};
 use googletest::prelude::*;
 use std::time::Duration;
 use switchhill_configuration::{Document, Route};
@@ -19,10 +19,10 @@
 
 /// A timeline whose pieces came at these times after the arrival, in milliseconds.
 fn timeline(arrived: Instant, pieces: &[u64], end: RequestEnd) -> Timeline {
-    let mut timeline = Timeline::of(&route());
-    timeline.sent(arrived, "i-1");
+    let mut timeline = Timeline::new(&route());
+    timeline.record_sent(arrived, "i-1");
     for piece in pieces {
-        timeline.piece(arrived + Duration::from_millis(*piece));
+        timeline.record_chunk(arrived + Duration::from_millis(*piece));
     }
     timeline.end = end;
     timeline
@@ -31,28 +31,28 @@
 #[gtest]
 fn a_whole_answer_in_time_gets_no_line() {
     let arrived = Instant::now();
-    expect_false!(timeline(arrived, &[400, 500, 690], RequestEnd::Answered).is_notable(arrived));
+    expect_false!(timeline(arrived, &[400, 500, 690], RequestEnd::Completed).is_notable(arrived));
 }
 
 #[gtest]
 fn a_late_first_byte_a_long_pause_a_cut_and_a_refusal_get_a_line() {
     let arrived = Instant::now();
-    expect_true!(timeline(arrived, &[501], RequestEnd::Answered).is_notable(arrived));
-    expect_true!(timeline(arrived, &[100, 301], RequestEnd::Answered).is_notable(arrived));
-    expect_true!(timeline(arrived, &[100, 200], RequestEnd::Cut).is_notable(arrived));
-    let refused = RequestEnd::Own(LocalReply::NotRun { retry_after_ms: 20 });
+    expect_true!(timeline(arrived, &[501], RequestEnd::Completed).is_notable(arrived));
+    expect_true!(timeline(arrived, &[100, 301], RequestEnd::Completed).is_notable(arrived));
+    expect_true!(timeline(arrived, &[100, 200], RequestEnd::Incomplete).is_notable(arrived));
+    let refused = RequestEnd::Local(LocalReply::NotRun { retry_after_ms: 20 });
     expect_true!(timeline(arrived, &[], refused).is_notable(arrived));
 }
 
 #[gtest]
 fn lines_are_bounded_and_those_left_out_are_counted() {
-    let budget = LineBudget::default();
+    let limiter = LogRateLimiter::default();
     let start = Instant::now();
-    let written = (0..100).filter(|_| budget.take(start).is_some()).count();
+    let written = (0..100).filter(|_| limiter.take(start).is_some()).count();
     expect_that!(written, eq(20));
     let later = start + Duration::from_millis(1_100);
-    expect_that!(budget.take(later), some(eq(80)));
-    expect_that!(budget.take(later), some(eq(0)));
-    let within_a_second = (0..100).filter(|_| budget.take(later).is_some()).count();
+    expect_that!(limiter.take(later), some(eq(80)));
+    expect_that!(limiter.take(later), some(eq(0)));
+    let within_a_second = (0..100).filter(|_| limiter.take(later).is_some()).count();
     expect_that!(within_a_second, le(4));
 }
--- a/src/data_plane/tests/rig.rs
+++ b/src/data_plane/tests/rig.rs
@@ -4,7 +4,7 @@
 use crate::data_plane::drain::shut_down;
 use crate::data_plane::ingress;
 use crate::data_plane::pool::Pool;
-use crate::data_plane::server::spawn_repeated_work;
+use crate::data_plane::server::spawn_periodic_tasks;
 use crate::data_plane::shared::Shared;
 use crate::data_plane::shutdown::ShutdownHandle;
 use crate::data_plane::view::View;
@@ -183,7 +183,7 @@
         shared.pool = Pool::with_connector(Rc::new(MemoryConnector(workers.clone())), 1000);
         let shared = Rc::new(shared);
         let mut tasks = JoinSet::new();
-        spawn_repeated_work(&shared, &mut tasks);
+        spawn_periodic_tasks(&shared, &mut tasks);
         MemoryRig { shared, workers, tasks, end: None, _feedback: feedback }
     }
 
--- a/src/data_plane/tests/scripted_worker.rs
+++ b/src/data_plane/tests/scripted_worker.rs
@@ -1,6 +1,6 @@
 //! Workers in memory, of which a test sets every byte and every failure.
 
-use crate::data_plane::connector::{Connecting, Connector, WorkerStream};
+use crate::data_plane::connector::{ConnectFuture, Connector, WorkerStream};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -188,7 +188,7 @@
 pub(crate) struct MemoryConnector(pub(crate) Rc<Workers>);
 
 impl Connector for MemoryConnector {
-    fn connect(&self, address: SocketAddr) -> Connecting {
+    fn connect(&self, address: SocketAddr) -> ConnectFuture {
         let workers = self.0.clone();
         Box::pin(async move {
             while workers.connect_hangs.get() {
--- a/src/data_plane/worker_choice.rs
+++ b/src/data_plane/worker_choice.rs
@@ -37,7 +37,7 @@
             if let Some(admitted) = &mut self.admitted {
                 admitted.mark_waiting_for_load();
             }
-            self.timeline.waits_for_model();
+            self.timeline.record_model_wait();
             let is_shutting_down = tokio::select! {
                 () = self.shutdown_forbids_sending() => true,
                 () = self.wait_for_change(wait_until) => false,
--- a/src/data_plane/worker_response.rs
+++ b/src/data_plane/worker_response.rs
@@ -12,7 +12,7 @@
 use switchhill_routing::AttemptOutcome;
 
 /// An answer whose head has come. Dropping it closes the connection, so that the worker stops.
-pub(crate) struct WorkerAnswer {
+pub(crate) struct WorkerResponse {
     pub(crate) head: Parts,
     pub(crate) attempt: OutstandingAttempt,
     body: Incoming,
@@ -20,7 +20,7 @@
 }
 
 /// The next of a body.
-pub(crate) enum BodyStep {
+pub(crate) enum BodyRead {
     /// Some bytes.
     Data(Bytes),
     /// The proper end.
@@ -30,30 +30,34 @@
 }
 
 /// A body read up to a limit.
-pub(crate) enum BodyStart {
+pub(crate) enum BufferedBody {
     /// All of it.
-    Whole(Bytes),
+    Complete(Bytes),
     /// It is longer than the limit; these are its first bytes.
-    Longer(Bytes),
+    ExceedsLimit(Bytes),
     /// The connection failed first.
     Broken,
 }
 
-impl WorkerAnswer {
+impl WorkerResponse {
     /// An answer that begins on a leased connection.
-    pub(crate) fn new(answer: Response<Incoming>, lease: Lease, attempt: OutstandingAttempt) -> WorkerAnswer {
+    pub(crate) fn new(
+        answer: Response<Incoming>,
+        lease: Lease,
+        attempt: OutstandingAttempt,
+    ) -> WorkerResponse {
         let (head, body) = answer.into_parts();
-        WorkerAnswer { head, body, lease, attempt }
+        WorkerResponse { head, body, lease, attempt }
     }
 
     /// Waits for the next bytes of the body.
-    pub(crate) async fn next_step(&mut self) -> BodyStep {
+    pub(crate) async fn next_step(&mut self) -> BodyRead {
         loop {
             match self.body.frame().await {
-                None => return BodyStep::End,
-                Some(Err(_)) => return BodyStep::Broken,
+                None => return BodyRead::End,
+                Some(Err(_)) => return BodyRead::Broken,
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(data) => return BodyStep::Data(data),
+                    Ok(data) => return BodyRead::Data(data),
                     // Trailers concern only this connection.
                     Err(_) => continue,
                 },
@@ -62,22 +66,22 @@
     }
 
     /// Reads the body until it ends or exceeds the limit.
-    pub(crate) async fn read_start(&mut self, limit: usize) -> BodyStart {
+    pub(crate) async fn read_up_to(&mut self, limit: usize) -> BufferedBody {
         let mut first: Option<Bytes> = None;
         let mut joined = BytesMut::new();
         loop {
             match self.next_step().await {
-                BodyStep::Broken => return BodyStart::Broken,
-                BodyStep::End => return BodyStart::Whole(first.unwrap_or_else(|| joined.freeze())),
-                BodyStep::Data(data) if first.is_none() && joined.is_empty() => first = Some(data),
-                BodyStep::Data(data) => {
+                BodyRead::Broken => return BufferedBody::Broken,
+                BodyRead::End => return BufferedBody::Complete(first.unwrap_or_else(|| joined.freeze())),
+                BodyRead::Data(data) if first.is_none() && joined.is_empty() => first = Some(data),
+                BodyRead::Data(data) => {
                     joined.extend_from_slice(&first.take().unwrap_or_default());
                     joined.extend_from_slice(&data);
                 }
             }
             let length = first.as_ref().map_or(joined.len(), Bytes::len);
             if length > limit {
-                return BodyStart::Longer(first.unwrap_or_else(|| joined.freeze()));
+                return BufferedBody::ExceedsLimit(first.unwrap_or_else(|| joined.freeze()));
             }
         }
     }
