--- a/src/data_plane/connection_headers.rs
+++ b/src/data_plane/connection_headers.rs
@@ -1,29 +1,29 @@
-//! Headers that concern a single connection and are not passed on.
+//! Hop-by-hop headers, which apply to a single connection and are not forwarded.
 
 use hyper::header::{HeaderMap, HeaderName, CONNECTION, EXPECT, TE, TRAILER, TRANSFER_ENCODING, UPGRADE};
 
-/// Headers that belong to a connection whether or not `Connection` names them.
-const OF_CONNECTION: [HeaderName; 5] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
+/// Headers that are hop-by-hop whether or not `Connection` lists them.
+const HOP_BY_HOP_HEADERS: [HeaderName; 5] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
 
-/// Removes what concerns only the connection the message came on.
+/// Removes the hop-by-hop headers of a message.
 pub(crate) fn remove_connection_headers(headers: &mut HeaderMap) {
-    for name in named_by_connection(headers) {
+    for name in listed_in_connection(headers) {
         headers.remove(name);
     }
-    for name in OF_CONNECTION {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
     headers.remove("keep-alive");
     remove_proxy_headers(headers);
 }
 
-/// Removes from a request also what was settled with the client when its body was read.
+/// Removes the hop-by-hop headers of a request, and `Expect`: the expectation was met when the body was read.
 pub(crate) fn remove_request_connection_headers(headers: &mut HeaderMap) {
     remove_connection_headers(headers);
     headers.remove(EXPECT);
 }
 
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+fn listed_in_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
--- a/src/data_plane/forwarded_request.rs
+++ b/src/data_plane/forwarded_request.rs
@@ -1,4 +1,4 @@
-//! A client's request as it is sent to workers: method, target and body unchanged.
+//! A client's request as it is forwarded to workers: method, target and body are unchanged.
 
 use super::connection_headers::remove_request_connection_headers;
 use super::request_head::{LAST_EVENT_ID, REQUEST_DEADLINE};
@@ -9,10 +9,10 @@
 use hyper::{Method, Request, Uri};
 use std::time::Duration;
 
-/// Ranks that `Priority` may carry; 0 comes first.
-const LAST_PRIORITY: u8 = 9;
+/// Highest value of the `Priority` header, which is the lowest priority; 0 is the most urgent.
+const LOWEST_PRIORITY: u8 = 9;
 
-/// A request whose body has been read.
+/// A request whose body has been read completely.
 #[derive(Debug, Clone)]
 pub(crate) struct ForwardedRequest {
     method: Method,
@@ -21,19 +21,19 @@
     body: Bytes,
 }
 
-/// What differs from one attempt to the next.
+/// Header values that differ between the attempts of a request.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct AttemptHeaders {
     pub(crate) worker_id: String,
     pub(crate) time_left: Duration,
     pub(crate) priority: u8,
-    /// Replaces the client's own where a stream is taken up.
+    /// Replaces the client's `Last-Event-Id` when a stream is resumed.
     pub(crate) last_event_id: Option<u64>,
     pub(crate) expect_version: Option<u64>,
 }
 
 impl ForwardedRequest {
-    /// Takes a request apart; `body` is its whole body.
+    /// Builds the forwarded request from the client's head and its complete body.
     pub(crate) fn new(parts: Parts, body: Bytes) -> ForwardedRequest {
         let mut headers = parts.headers;
         let had_body = headers.contains_key(CONTENT_LENGTH) || !body.is_empty();
@@ -45,34 +45,33 @@
         ForwardedRequest { method: parts.method, target: origin_form(parts.uri), headers, body }
     }
 
-    /// The method.
     pub(crate) fn method(&self) -> &Method {
         &self.method
     }
 
-    /// The request as one worker gets it.
-    pub(crate) fn for_worker(&self, fields: &AttemptHeaders) -> Request<Full<Bytes>> {
+    /// The request for one attempt on a worker.
+    pub(crate) fn for_worker(&self, attempt: &AttemptHeaders) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         *request.headers_mut() = self.headers.clone();
-        set_attempt_headers(request.headers_mut(), fields);
+        set_attempt_headers(request.headers_mut(), attempt);
         request
     }
 }
 
-fn set_attempt_headers(headers: &mut HeaderMap, fields: &AttemptHeaders) {
-    let left = u64::try_from(fields.time_left.as_millis()).unwrap_or(u64::MAX).max(1);
-    headers.insert(REQUEST_DEADLINE, HeaderValue::from(left));
-    headers.insert("priority", HeaderValue::from(u16::from(fields.priority.min(LAST_PRIORITY))));
+fn set_attempt_headers(headers: &mut HeaderMap, attempt: &AttemptHeaders) {
+    let time_left_ms = u64::try_from(attempt.time_left.as_millis()).unwrap_or(u64::MAX).max(1);
+    headers.insert(REQUEST_DEADLINE, HeaderValue::from(time_left_ms));
+    headers.insert("priority", HeaderValue::from(u16::from(attempt.priority.min(LOWEST_PRIORITY))));
     headers.remove("expect-instance");
-    if let Ok(worker_id) = HeaderValue::from_str(&fields.worker_id) {
+    if let Ok(worker_id) = HeaderValue::from_str(&attempt.worker_id) {
         headers.insert("expect-instance", worker_id);
     }
-    if let Some(id) = fields.last_event_id {
+    if let Some(id) = attempt.last_event_id {
         headers.insert(LAST_EVENT_ID, HeaderValue::from(id));
     }
-    if let Some(version) = fields.expect_version {
+    if let Some(version) = attempt.expect_version {
         headers.insert("expect-version", HeaderValue::from(version));
     }
 }
--- a/src/data_plane/ingress.rs
+++ b/src/data_plane/ingress.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, and what happens to a request before it is sent to a worker.
+//! Client connections and the processing of a request before it is sent to a worker.
 
 use super::connector;
 use super::count_guard::CountGuard;
@@ -31,62 +31,62 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
-/// Accepts clients until the phase in which no new connection is taken.
+/// Accepts client connections until shortly after the closing phase has begun.
 pub(crate) async fn accept(shared: Rc<Shared>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(shared.connection_limits.clients));
+    let permits = Arc::new(Semaphore::new(shared.connection_limits.clients));
     let closing = shared.shutdown.clone();
     tokio::select! {
-        () = accept_all(&shared, &listener, &places) => {}
-        () = closing_pause_over(&closing) => {}
+        () = accept_loop(&shared, &listener, &permits) => {}
+        () = closing_grace_elapsed(&closing) => {}
     }
 }
 
-/// Waits until what had come when the last phase began has been read.
-async fn closing_pause_over(shutdown: &ShutdownHandle) {
+/// Waits for the closing phase and then for the grace period in which data that is already pending is read.
+async fn closing_grace_elapsed(shutdown: &ShutdownHandle) {
     shutdown.reached(Phase::Closing).await;
     tokio::time::sleep(policy::CLOSING_GRACE).await;
 }
 
-async fn accept_all(shared: &Rc<Shared>, listener: &TcpListener, places: &Arc<Semaphore>) {
+async fn accept_loop(shared: &Rc<Shared>, listener: &TcpListener, permits: &Arc<Semaphore>) {
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, _peer)) => {
-                tokio::task::spawn_local(serve_connection(shared.clone(), stream, place));
+                tokio::task::spawn_local(serve_connection(shared.clone(), stream, permit));
             }
             Err(error) => {
-                log::warn!("accepting a client: {error}");
+                log::warn!("failed to accept a client connection: {error}");
                 tokio::time::sleep(policy::CONNECTION_SETTLE_TIME).await;
             }
         }
     }
 }
 
-async fn serve_connection(shared: Rc<Shared>, stream: TcpStream, _place: OwnedSemaphorePermit) {
+async fn serve_connection(shared: Rc<Shared>, stream: TcpStream, _permit: OwnedSemaphorePermit) {
     if let Err(error) = connector::set_socket_options(&stream, policy::CLIENT_TCP_USER_TIMEOUT) {
-        log::debug!("socket options of a client: {error}");
+        log::debug!("failed to set the socket options of a client connection: {error}");
     }
     serve_stream(shared, stream).await;
 }
 
-/// Serves the requests of one client until its connection ends.
+/// Serves the requests on one client connection until it is closed.
 pub(crate) async fn serve_stream(shared: Rc<Shared>, stream: impl AsyncRead + AsyncWrite + Unpin + 'static) {
     let _open = CountGuard::new(&shared.client_connections);
     let limits = client_limits(&shared);
     let service = service_fn(|request| respond(shared.clone(), request));
-    let written = Rc::new(FlushState::counted(shared.unwritten_connections.clone()));
-    let stream = TokioIo::new(FlushTrackingStream::new(stream, written));
-    let connection = connection_settings(&limits).serve_connection(stream, service);
+    let flush_state = Rc::new(FlushState::counted(shared.unwritten_connections.clone()));
+    let stream = TokioIo::new(FlushTrackingStream::new(stream, flush_state));
+    let connection = connection_builder(&limits).serve_connection(stream, service);
     let mut connection = std::pin::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
-        () = closing_pause_over(&shared.shutdown) => {
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
+        () = closing_grace_elapsed(&shared.shutdown) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
-        log::debug!("connection of a client: {error}");
+    if let Err(error) = result {
+        log::debug!("client connection failed: {error}");
     }
 }
 
@@ -94,8 +94,9 @@
     shared.document().map(|document| *document.limits()).unwrap_or_default()
 }
 
-fn connection_settings(limits: &ClientLimits) -> http1::Builder {
-    // One timer bounds both the rest between two requests and the time a head takes.
+fn connection_builder(limits: &ClientLimits) -> http1::Builder {
+    // The HTTP library has a single timer for both the idle time between requests and the time to read a
+    // head.
     let idle = Duration::from_millis(limits.idle_timeout_ms) + policy::CLIENT_IDLE_GRACE;
     let head = Duration::from_millis(limits.header_timeout_ms);
     let head_buffer = usize::try_from(limits.max_header_bytes).unwrap_or(usize::MAX);
@@ -112,26 +113,26 @@
     shared: Rc<Shared>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Infallible> {
-    let mut answer = answer_request(&shared, request).await;
+    let mut response = process_request(&shared, request).await;
     if shared.shutdown.phase() != Phase::Serving {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(answer)
+    Ok(response)
 }
 
-async fn answer_request(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<ResponseBody> {
+async fn process_request(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<ResponseBody> {
     let arrived = Instant::now();
     let running = CountGuard::new(&shared.running);
     let (parts, body) = request.into_parts();
     let head = RequestHead::parse(&parts);
     let request_id = head.request_id.clone();
-    let time = body_time(shared, &head);
-    let read = tokio::time::timeout_at(arrived + time, read_body(shared, body)).await;
-    let read = read.unwrap_or(Err(LocalReply::NotRun { retry_after_ms: policy::RETRY_AFTER_REFUSED_MS }));
-    if read.is_ok() {
-        shared.wait_for_configuration(arrived + policy::MAX_CONFIGURATION_WAIT.min(time / 4)).await;
+    let timeout = body_read_timeout(shared, &head);
+    let body = tokio::time::timeout_at(arrived + timeout, read_body(shared, body)).await;
+    let body = body.unwrap_or(Err(LocalReply::NotRun { retry_after_ms: policy::RETRY_AFTER_REFUSED_MS }));
+    if body.is_ok() {
+        shared.wait_for_configuration(arrived + policy::MAX_CONFIGURATION_WAIT.min(timeout / 4)).await;
     }
-    let admitted = read.and_then(|body| {
+    let admitted = body.and_then(|body| {
         let route = find_route(shared, &head)?;
         admit(shared, &route, &head, ForwardedRequest::new(parts, body), arrived, running)
     });
@@ -141,8 +142,9 @@
     }
 }
 
-/// The time that the body may take: that of the client or that of the route, whichever is shorter.
-fn body_time(shared: &Shared, head: &RequestHead) -> Duration {
+/// Time limit for reading the body: the client's deadline, the route's timeout or the general maximum,
+/// whichever is shortest.
+fn body_read_timeout(shared: &Shared, head: &RequestHead) -> Duration {
     let document = shared.document();
     let route = document.as_ref().and_then(|document| document.route(&head.host, &head.path));
     let timeout = route.map_or(policy::MAX_BODY_READ_TIME, |route| Duration::from_millis(route.timeout_ms));
@@ -158,18 +160,18 @@
     })
 }
 
-/// The route by the newest configuration.
+/// Looks up the route in the newest configuration.
 fn find_route(shared: &Shared, head: &RequestHead) -> Result<Route, LocalReply> {
-    let not_yet = LocalReply::NotRun { retry_after_ms: policy::RETRY_AFTER_NO_CONFIGURATION_MS };
+    let retry_later = LocalReply::NotRun { retry_after_ms: policy::RETRY_AFTER_NO_CONFIGURATION_MS };
     let view = shared.view();
-    let document = view.document.as_ref().ok_or(not_yet)?;
+    let document = view.document.as_ref().ok_or(retry_later)?;
     let route = document.route(&head.host, &head.path);
-    // A configuration that nobody has confirmed may be too old to know the route.
-    let unknown = if view.confirmed { LocalReply::NoRoute } else { not_yet };
-    route.cloned().ok_or(unknown)
+    // An unconfirmed configuration may be too old to contain the route.
+    let no_route = if view.confirmed { LocalReply::NoRoute } else { retry_later };
+    route.cloned().ok_or(no_route)
 }
 
-/// Admission: the one place where a request is refused for the sake of others.
+/// Admission control: the only place where a request is refused in favor of other requests.
 fn admit(
     shared: &Rc<Shared>,
     route: &Route,
--- a/src/data_plane/request_head.rs
+++ b/src/data_plane/request_head.rs
@@ -1,25 +1,25 @@
-//! What a request's head says about its route, its model and its time.
+//! Parsing of the request head: routing target, model, prompt and deadline.
 
 use hyper::header::{HeaderMap, HeaderValue, HOST};
 use hyper::http::request::Parts;
 use std::time::Duration;
 use switchhill_routing::PromptPart;
 
-/// Id of one try of a client.
+/// Header with the id of one attempt of a client.
 pub(crate) const REQUEST_ID: &str = "request-id";
-/// Milliseconds the sender will wait.
+/// Header with the time in milliseconds that the sender waits for the response.
 pub(crate) const REQUEST_DEADLINE: &str = "request-deadline-ms";
-/// Id of the last event a client has of a stream.
+/// Header with the id of the last event of a stream that the client has received.
 pub(crate) const LAST_EVENT_ID: &str = "last-event-id";
 
-/// A model and, where the request names one, an adapter of it.
+/// A model and, if the request names one, an adapter for it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct ModelName {
     pub(crate) model: String,
     pub(crate) adapter: Option<String>,
 }
 
-/// The parts of a head that decide what happens to the request.
+/// The parts of a request head that routing and admission use.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RequestHead {
     pub(crate) host: String,
@@ -34,36 +34,37 @@
 }
 
 impl RequestHead {
-    /// Reads a head. A header that cannot be read counts as absent.
+    /// Parses a head. A header that cannot be parsed is treated as absent.
     pub(crate) fn parse(parts: &Parts) -> RequestHead {
         let headers = &parts.headers;
-        let (prompt_tokens, output_tokens) = text(headers, "token-usage").map_or((0, 0), read_token_usage);
+        let (prompt_tokens, output_tokens) =
+            header_text(headers, "token-usage").map_or((0, 0), parse_token_usage);
         RequestHead {
-            host: read_host(parts),
+            host: parse_host(parts),
             path: parts.uri.path().to_owned(),
             request_id: headers.get(REQUEST_ID).cloned(),
-            model: text(headers, "model").and_then(read_model),
+            model: header_text(headers, "model").and_then(parse_model),
             prompt_tokens,
             output_tokens,
-            prompt_parts: text(headers, "prompt-prefix").map(read_prompt_parts).unwrap_or_default(),
-            deadline: text(headers, REQUEST_DEADLINE).and_then(read_milliseconds),
-            last_event_id: text(headers, LAST_EVENT_ID).and_then(|id| id.parse().ok()),
+            prompt_parts: header_text(headers, "prompt-prefix").map(parse_prompt_parts).unwrap_or_default(),
+            deadline: header_text(headers, REQUEST_DEADLINE).and_then(parse_milliseconds),
+            last_event_id: header_text(headers, LAST_EVENT_ID).and_then(|id| id.parse().ok()),
         }
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
-fn read_host(parts: &Parts) -> String {
+fn parse_host(parts: &Parts) -> String {
     let authority = parts.uri.authority().map(|authority| authority.as_str());
-    let host = authority.or_else(|| text(&parts.headers, HOST.as_str())).unwrap_or_default();
+    let host = authority.or_else(|| header_text(&parts.headers, HOST.as_str())).unwrap_or_default();
     let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
     name.to_ascii_lowercase()
 }
 
-fn read_model(value: &str) -> Option<ModelName> {
+fn parse_model(value: &str) -> Option<ModelName> {
     if value.is_empty() {
         return None;
     }
@@ -74,21 +75,21 @@
     Some(name)
 }
 
-fn read_token_usage(value: &str) -> (u32, u32) {
+fn parse_token_usage(value: &str) -> (u32, u32) {
     let (prompt, output) = value.split_once(',').unwrap_or((value, "0"));
     (prompt.trim().parse().unwrap_or(0), output.trim().parse().unwrap_or(0))
 }
 
-fn read_prompt_parts(value: &str) -> Vec<PromptPart> {
-    value.split(',').map_while(read_prompt_part).collect()
+fn parse_prompt_parts(value: &str) -> Vec<PromptPart> {
+    value.split(',').map_while(parse_prompt_part).collect()
 }
 
-fn read_prompt_part(value: &str) -> Option<PromptPart> {
+fn parse_prompt_part(value: &str) -> Option<PromptPart> {
     let (id, tokens) = value.trim().split_once(':')?;
     Some(PromptPart { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
 }
 
-fn read_milliseconds(value: &str) -> Option<Duration> {
+fn parse_milliseconds(value: &str) -> Option<Duration> {
     let milliseconds: f64 = value.parse().ok()?;
     (milliseconds.is_finite() && milliseconds >= 0.0)
         .then(|| Duration::from_secs_f64((milliseconds / 1000.0).min(86_400.0)))
