--- a/src/data_plane/event_stream_response.rs
+++ b/src/data_plane/event_stream_response.rs
@@ -1,11 +1,11 @@
-//! A series of events, passed on one by one and taken up at another worker where its own breaks.
+//! Event stream response: forwarded event by event, and resumed at another worker if the first one fails.
 
 use super::attempt::{AttemptResult, ResumePoint};
 use super::event_stream::{Event, EventSplitter};
 use super::exchange::Exchange;
 use super::policy;
 use super::request_log::RequestEnd;
-use super::response_body::{ChunkSource, IncompleteResponse, Piece};
+use super::response_body::{Chunk, ChunkSource, IncompleteResponse};
 use super::worker_response::{BodyRead, WorkerResponse};
 use bytes::{Bytes, BytesMut};
 use hyper::header::HeaderMap;
@@ -14,243 +14,249 @@
 use switchhill_routing::{AttemptOutcome, Choice};
 use tokio::time::Sleep;
 
-/// The body of a stream of events.
+/// Body of an event stream response.
 pub(crate) struct EventStreamResponse {
     exchange: Exchange,
-    answer: Option<WorkerResponse>,
+    response: Option<WorkerResponse>,
     splitter: EventSplitter,
-    position: Position,
+    position: StreamPosition,
     deadline: Pin<Box<Sleep>>,
-    /// No other worker can take it up: it stays where it is, however long that pauses.
-    stays: bool,
+    /// No other worker can resume the stream: it stays with its worker, however long that one pauses.
+    pinned: bool,
 }
 
-/// How far the client has come in the stream.
+/// Position of the client in the stream.
 #[derive(Debug, Default)]
-struct Position {
-    /// Last event passed on, or that the client named at first.
+struct StreamPosition {
+    /// Id of the last forwarded event, or at first the `Last-Event-Id` of the client.
     last_id: Option<u64>,
-    /// Whether an event was passed on that has no id: it cannot be resumed after.
-    unnumbered: bool,
-    /// Version of what was passed on last.
-    versions: Option<u64>,
+    /// Whether an event without an id has been forwarded. The stream cannot be resumed after such an event.
+    has_event_without_id: bool,
+    /// Version from which the last event was forwarded.
+    version: Option<u64>,
     /// Version that the next event has to announce.
-    announce: Option<u64>,
-    /// Events at or below the last id are those the client has.
+    version_to_announce: Option<u64>,
+    /// Whether the stream was resumed: events up to the last id have already been forwarded.
     resumed: bool,
 }
 
-enum Step {
+/// Input that a stream waits for.
+enum StreamInput {
     Body(BodyRead),
-    WorkerSilent,
+    WorkerStalled,
     DeadlinePassed,
 }
 
 impl EventStreamResponse {
-    /// A stream that begins with this answer.
-    pub(crate) fn new(exchange: Exchange, answer: WorkerResponse) -> EventStreamResponse {
+    /// A stream that begins with this response.
+    pub(crate) fn new(exchange: Exchange, response: WorkerResponse) -> EventStreamResponse {
         let deadline = Box::pin(tokio::time::sleep_until(exchange.deadline));
-        let position = Position {
+        let position = StreamPosition {
             last_id: exchange.last_event_id,
-            versions: versions(&answer.head.headers),
-            ..Position::default()
+            version: version_header(&response.head.headers),
+            ..StreamPosition::default()
         };
         EventStreamResponse {
             exchange,
-            answer: Some(answer),
+            response: Some(response),
             splitter: EventSplitter::default(),
             position,
             deadline,
-            stays: false,
+            pinned: false,
         }
     }
 
-    async fn next_step(&mut self) -> Option<Step> {
-        let answer = self.answer.as_mut()?;
-        let worker = answer.attempt.worker();
-        let step = tokio::select! {
+    async fn next_input(&mut self) -> Option<StreamInput> {
+        let response = self.response.as_mut()?;
+        let worker = response.attempt.worker();
+        let input = tokio::select! {
             biased;
-            step = answer.next_step() => Step::Body(step),
-            () = self.exchange.shared.stalled_workers.wait_for(worker), if !self.stays => {
-                Step::WorkerSilent
+            read = response.read_next() => StreamInput::Body(read),
+            () = self.exchange.shared.stalled_workers.wait_for(worker), if !self.pinned => {
+                StreamInput::WorkerStalled
             }
-            () = &mut self.deadline => Step::DeadlinePassed,
+            () = &mut self.deadline => StreamInput::DeadlinePassed,
         };
-        Some(step)
+        Some(input)
     }
 
-    /// The whole events among the bytes that have come.
-    fn whole_events(&mut self, data: &[u8]) -> Bytes {
+    /// Takes received bytes and returns the complete events to forward.
+    fn complete_events(&mut self, data: &[u8]) -> Bytes {
         self.splitter.push(data);
-        let mut passed = BytesMut::new();
+        let mut output = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
-            self.position.pass(&event, &mut passed);
+            self.position.forward(&event, &mut output);
         }
-        passed.freeze()
+        output.freeze()
     }
 
-    /// The end of the body, with what is left of it.
-    fn end(&mut self) -> Piece {
-        let answer = self.answer.take()?;
-        let outcome = answer.outcome();
-        answer.complete(outcome);
+    /// Completes the stream and returns the bytes after the last complete event.
+    fn finish(&mut self) -> Chunk {
+        let response = self.response.take()?;
+        let outcome = response.outcome();
+        response.complete(outcome);
         self.exchange.timeline.end = RequestEnd::Completed;
         let rest = self.splitter.take_rest();
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
-    /// Whether an end of the body here is one in the middle of an event that no length has announced.
+    /// Whether the body, if it ends here, is truncated within an event. Only a body that is delimited by the
+    /// end of its connection can be truncated without an error.
     fn ends_within_event(&self) -> bool {
-        !self.splitter.is_empty() && self.answer.as_ref().is_some_and(WorkerResponse::ends_with_connection)
+        !self.splitter.is_empty() && self.response.as_ref().is_some_and(WorkerResponse::ends_with_connection)
     }
 
-    fn abort(&mut self, outcome: AttemptOutcome) -> Piece {
-        if let Some(answer) = self.answer.take() {
-            answer.abandon(outcome);
+    fn abort(&mut self, outcome: AttemptOutcome) -> Chunk {
+        if let Some(response) = self.response.take() {
+            response.abandon(outcome);
         }
         Some(Err(IncompleteResponse))
     }
 
-    /// Whether another worker could go on with the stream.
-    fn can_move(&self) -> bool {
-        self.exchange.rules.resumable && !self.position.unnumbered && self.exchange.may_retry_elsewhere()
+    /// Whether another worker could resume the stream.
+    fn can_resume_elsewhere(&self) -> bool {
+        self.exchange.rules.resumable
+            && !self.position.has_event_without_id
+            && self.exchange.may_retry_elsewhere()
     }
 
-    /// Takes a stream whose connection has failed up at another worker.
-    async fn take_up(&mut self, outcome: AttemptOutcome) -> bool {
-        if let Some(answer) = self.answer.take() {
+    /// Resumes the stream at another worker after its connection has failed. Returns whether that succeeded.
+    async fn fail_over(&mut self, outcome: AttemptOutcome) -> bool {
+        if let Some(response) = self.response.take() {
             if outcome == AttemptOutcome::Broken {
-                self.exchange.probe_worker(answer.attempt.worker());
+                self.exchange.probe_worker(response.attempt.worker());
             }
-            answer.abandon(outcome);
+            response.abandon(outcome);
         }
-        if !self.exchange.rules.resumable || self.position.unnumbered {
+        if !self.exchange.rules.resumable || self.position.has_event_without_id {
             return false;
         }
-        let resumed = self.exchange.resume(self.position.last_id, self.position.versions).await;
-        resumed.is_some_and(|answer| {
-            self.go_on_with(answer);
+        let resumed = self.exchange.resume(self.position.last_id, self.position.version).await;
+        resumed.is_some_and(|response| {
+            self.continue_with(response);
             true
         })
     }
 
-    /// Asks another worker for the rest while a silent one may still go on. The stream goes on with the one that
-    /// speaks first; a worker's silence alone never ends it.
-    async fn ask_beside_silent_worker(&mut self) -> Option<Step> {
-        let silent = self.answer.as_mut()?;
-        let resume = self.exchange.resume(self.position.last_id, self.position.versions);
+    /// Requests the rest from another worker while the stalled one may still continue. The stream continues
+    /// with the worker that responds first; a stall alone never ends it.
+    async fn race_stalled_worker(&mut self) -> Option<StreamInput> {
+        let stalled = self.response.as_mut()?;
+        let resume = self.exchange.resume(self.position.last_id, self.position.version);
         let resumed = tokio::select! {
             biased;
-            step = silent.next_step() => return Some(Step::Body(step)),
+            read = stalled.read_next() => return Some(StreamInput::Body(read)),
             resumed = resume => resumed,
         };
-        self.stays = resumed.is_none();
-        if let Some(answer) = resumed {
-            if let Some(silent) = self.answer.take() {
-                silent.abandon(AttemptOutcome::TimedOut);
+        self.pinned = resumed.is_none();
+        if let Some(response) = resumed {
+            if let Some(stalled) = self.response.take() {
+                stalled.abandon(AttemptOutcome::TimedOut);
             }
-            self.go_on_with(answer);
+            self.continue_with(response);
         }
         None
     }
 
-    fn go_on_with(&mut self, answer: WorkerResponse) {
+    fn continue_with(&mut self, response: WorkerResponse) {
         self.splitter.clear();
-        self.position.resume_with(versions(&answer.head.headers));
-        self.answer = Some(answer);
+        self.position.resume_with(version_header(&response.head.headers));
+        self.response = Some(response);
     }
 }
 
 impl ChunkSource for EventStreamResponse {
-    async fn next_piece(&mut self) -> Piece {
+    async fn next_chunk(&mut self) -> Chunk {
         let mut pending = None;
         loop {
-            let step = match pending.take() {
-                Some(step) => step,
-                None => self.next_step().await?,
+            let input = match pending.take() {
+                Some(input) => input,
+                None => self.next_input().await?,
             };
-            let outcome = match step {
-                Step::Body(BodyRead::Data(data)) => {
-                    let events = self.whole_events(&data);
+            let outcome = match input {
+                StreamInput::Body(BodyRead::Data(data)) => {
+                    let events = self.complete_events(&data);
                     if events.is_empty() {
                         continue;
                     }
                     self.exchange.record_response_data();
-                    if let Some(answer) = &self.answer {
-                        answer.attempt.progress();
+                    if let Some(response) = &self.response {
+                        response.attempt.progress();
                     }
                     return Some(Ok(events));
                 }
-                Step::Body(BodyRead::End) if !self.ends_within_event() => return self.end(),
-                Step::Body(BodyRead::End | BodyRead::Broken) => AttemptOutcome::Broken,
-                Step::WorkerSilent if !self.can_move() => {
-                    self.stays = true;
+                StreamInput::Body(BodyRead::End) if !self.ends_within_event() => return self.finish(),
+                StreamInput::Body(BodyRead::End | BodyRead::Broken) => AttemptOutcome::Broken,
+                StreamInput::WorkerStalled if !self.can_resume_elsewhere() => {
+                    self.pinned = true;
                     continue;
                 }
-                Step::WorkerSilent => {
-                    pending = self.ask_beside_silent_worker().await;
+                StreamInput::WorkerStalled => {
+                    pending = self.race_stalled_worker().await;
                     continue;
                 }
-                Step::DeadlinePassed => return self.abort(AttemptOutcome::TimedOut),
+                StreamInput::DeadlinePassed => return self.abort(AttemptOutcome::TimedOut),
             };
-            if !self.take_up(outcome).await {
+            if !self.fail_over(outcome).await {
                 return self.abort(outcome);
             }
         }
     }
 }
 
-impl Position {
-    /// Adds an event to what is passed on, unless the client has it.
-    fn pass(&mut self, event: &Event, passed: &mut BytesMut) {
-        let is_known = event.id.is_some() && event.id <= self.last_id;
-        if self.resumed && is_known {
+impl StreamPosition {
+    /// Appends an event to the output, unless the client has already received it.
+    fn forward(&mut self, event: &Event, output: &mut BytesMut) {
+        let is_duplicate = event.id.is_some() && event.id <= self.last_id;
+        if self.resumed && is_duplicate {
             return;
         }
-        let announced = if event.is_comment { None } else { self.announce.take() };
-        if let Some(version) = announced.filter(|_| event.versions.is_none()) {
-            passed.extend_from_slice(format!("versions: {version}\n").as_bytes());
-            self.versions = Some(version);
+        let to_announce = if event.is_comment { None } else { self.version_to_announce.take() };
+        if let Some(version) = to_announce.filter(|_| event.versions.is_none()) {
+            output.extend_from_slice(format!("versions: {version}\n").as_bytes());
+            self.version = Some(version);
         }
-        self.versions = event.versions.or(self.versions);
-        self.unnumbered |= event.id.is_none() && !event.is_comment;
+        self.version = event.versions.or(self.version);
+        self.has_event_without_id |= event.id.is_none() && !event.is_comment;
         self.last_id = event.id.or(self.last_id);
-        passed.extend_from_slice(&event.bytes);
+        output.extend_from_slice(&event.bytes);
     }
 
-    /// The stream goes on with a worker of this version.
-    fn resume_with(&mut self, versions: Option<u64>) {
+    /// Continues the stream with a worker of this version.
+    fn resume_with(&mut self, version: Option<u64>) {
         self.resumed = true;
-        self.announce = versions.filter(|version| Some(*version) != self.versions);
+        self.version_to_announce = version.filter(|version| Some(*version) != self.version);
     }
 }
 
 impl Exchange {
-    /// The rest of a stream from another worker; gives up when none may be asked or the time for it is over.
-    async fn resume(&mut self, last_event_id: Option<u64>, versions: Option<u64>) -> Option<WorkerResponse> {
+    /// Requests the rest of a stream from another worker. Returns `None` if no worker may be tried or the
+    /// time limit is reached.
+    async fn resume(&mut self, last_event_id: Option<u64>, version: Option<u64>) -> Option<WorkerResponse> {
         self.history.may_have_run = true;
-        let resumed = self.ask_for_rest(last_event_id, versions);
+        let resumed = self.request_rest(last_event_id, version);
         tokio::time::timeout(policy::RESUME_TIMEOUT, resumed).await.ok().flatten()
     }
 
-    async fn ask_for_rest(
+    async fn request_rest(
         &mut self,
         last_event_id: Option<u64>,
-        versions: Option<u64>,
+        version: Option<u64>,
     ) -> Option<WorkerResponse> {
-        let mut point = ResumePoint { last_event_id, expect_version: versions };
+        let mut point = ResumePoint { last_event_id, expect_version: version };
         while self.may_retry() {
             let Choice::Send(worker) = self.choose_worker() else {
                 tokio::time::sleep(policy::RESUME_RETRY_INTERVAL).await;
                 continue;
             };
             match self.attempt(worker, point).await {
-                AttemptResult::Responded(answer) if answer.is_event_stream() => return Some(*answer),
+                AttemptResult::Responded(response) if response.is_event_stream() => return Some(*response),
                 AttemptResult::Responded(_)
                 | AttemptResult::RetryBudgetExhausted
                 | AttemptResult::TimedOut => return None,
                 AttemptResult::NotRun(StatusCode::MISDIRECTED_REQUEST) if point.expect_version.is_some() => {
-                    // Another version is better than a cut; this worker has not run the request.
+                    // Continuing with another version is better than a truncated stream. This worker has not
+                    // run the request, so the attempt does not count.
                     point.expect_version = None;
                     self.history.sent -= 1;
                     self.history.excluded.pop();
@@ -262,6 +268,7 @@
     }
 }
 
-fn versions(headers: &HeaderMap) -> Option<u64> {
+/// Version announced in the `Versions` header of a response.
+fn version_header(headers: &HeaderMap) -> Option<u64> {
     headers.get("versions")?.to_str().ok()?.trim().parse().ok()
 }
--- a/src/data_plane/response_body.rs
+++ b/src/data_plane/response_body.rs
@@ -1,4 +1,4 @@
-//! Body of an answer to a client: whole, or pulled piece by piece from what produces it.
+//! Body of a response to a client: complete, or produced chunk by chunk on demand.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -6,78 +6,79 @@
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 
-/// The answer cannot be completed; the client's connection is closed so that it does not look complete.
+/// The response cannot be completed. The client's connection is closed so that the response does not look
+/// complete.
 #[derive(Debug, thiserror::Error)]
-#[error("the worker's answer broke off")]
+#[error("the worker's response ended prematurely")]
 pub(crate) struct IncompleteResponse;
 
-/// The next piece of a body, or `None` at its proper end.
-pub(crate) type Piece = Option<Result<Bytes, IncompleteResponse>>;
+/// The next chunk of a body, or `None` at its regular end.
+pub(crate) type Chunk = Option<Result<Bytes, IncompleteResponse>>;
 
-/// What produces a body. Dropping it gives up the rest.
+/// Produces the chunks of a body. Dropping it abandons the rest of the body.
 pub(crate) trait ChunkSource: Sized + 'static {
-    /// Waits for the next piece.
-    fn next_piece(&mut self) -> impl Future<Output = Piece>;
+    /// Waits for the next chunk.
+    fn next_chunk(&mut self) -> impl Future<Output = Chunk>;
 }
 
-type Pull = Pin<Box<dyn Future<Output = (Piece, Box<dyn Pullable>)>>>;
+type NextChunk = Pin<Box<dyn Future<Output = (Chunk, Box<dyn BoxedChunkSource>)>>>;
 
-trait Pullable {
-    fn pull(self: Box<Self>) -> Pull;
+trait BoxedChunkSource {
+    fn into_next_chunk(self: Box<Self>) -> NextChunk;
 }
 
-impl<S: ChunkSource> Pullable for S {
-    fn pull(mut self: Box<Self>) -> Pull {
+impl<S: ChunkSource> BoxedChunkSource for S {
+    fn into_next_chunk(mut self: Box<Self>) -> NextChunk {
         Box::pin(async move {
-            let piece = self.next_piece().await;
-            (piece, self as Box<dyn Pullable>)
+            let chunk = self.next_chunk().await;
+            (chunk, self as Box<dyn BoxedChunkSource>)
         })
     }
 }
 
-/// Body of an answer.
+/// Body of a response to a client.
 pub(crate) enum ResponseBody {
-    /// Bytes that are all there, until they are taken.
-    Whole(Option<Bytes>),
-    /// A body that comes piece by piece.
-    Pulled(PulledBody),
+    /// A complete body; `None` if it is empty or has been taken.
+    Full(Option<Bytes>),
+    /// A body that is produced chunk by chunk.
+    Streamed(StreamedBody),
 }
 
-/// A body under way.
-pub(crate) struct PulledBody {
-    pull: Option<Pull>,
+/// A body that is produced chunk by chunk.
+pub(crate) struct StreamedBody {
+    next_chunk: Option<NextChunk>,
     length: Option<u64>,
 }
 
 impl ResponseBody {
-    /// A body without bytes.
+    /// An empty body.
     pub(crate) fn empty() -> ResponseBody {
-        ResponseBody::Whole(None)
+        ResponseBody::Full(None)
     }
 
-    /// A body that is all there.
+    /// A body that is already complete.
     pub(crate) fn full(bytes: Bytes) -> ResponseBody {
-        ResponseBody::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()))
+        ResponseBody::Full(Some(bytes).filter(|bytes| !bytes.is_empty()))
     }
 
-    /// A body pulled from its source; `length` where it is known.
+    /// A body that is read from a source; `length` if it is known.
     pub(crate) fn streamed(source: impl ChunkSource, length: Option<u64>) -> ResponseBody {
-        let source: Box<dyn Pullable> = Box::new(source);
-        ResponseBody::Pulled(PulledBody { pull: Some(source.pull()), length })
+        let source: Box<dyn BoxedChunkSource> = Box::new(source);
+        ResponseBody::Streamed(StreamedBody { next_chunk: Some(source.into_next_chunk()), length })
     }
 }
 
-impl PulledBody {
-    fn poll_piece(&mut self, context: &mut Context<'_>) -> Poll<Piece> {
-        let Some(pull) = &mut self.pull else {
+impl StreamedBody {
+    fn poll_chunk(&mut self, context: &mut Context<'_>) -> Poll<Chunk> {
+        let Some(next_chunk) = &mut self.next_chunk else {
             return Poll::Ready(None);
         };
-        let (piece, source) = ready!(pull.as_mut().poll(context));
-        self.pull = match &piece {
-            Some(Ok(_)) => Some(source.pull()),
+        let (chunk, source) = ready!(next_chunk.as_mut().poll(context));
+        self.next_chunk = match &chunk {
+            Some(Ok(_)) => Some(source.into_next_chunk()),
             _ => None,
         };
-        Poll::Ready(piece)
+        Poll::Ready(chunk)
     }
 }
 
@@ -89,26 +90,26 @@
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, IncompleteResponse>>> {
-        let piece = match self.get_mut() {
-            ResponseBody::Whole(bytes) => bytes.take().map(Ok),
-            ResponseBody::Pulled(body) => ready!(body.poll_piece(context)),
+        let chunk = match self.get_mut() {
+            ResponseBody::Full(bytes) => bytes.take().map(Ok),
+            ResponseBody::Streamed(body) => ready!(body.poll_chunk(context)),
         };
-        Poll::Ready(piece.map(|result| result.map(Frame::data)))
+        Poll::Ready(chunk.map(|result| result.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            ResponseBody::Whole(bytes) => bytes.is_none(),
-            ResponseBody::Pulled(body) => body.pull.is_none(),
+            ResponseBody::Full(bytes) => bytes.is_none(),
+            ResponseBody::Streamed(body) => body.next_chunk.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ResponseBody::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            ResponseBody::Pulled(body) => body.length.map(SizeHint::with_exact).unwrap_or_default(),
+            ResponseBody::Streamed(body) => body.length.map(SizeHint::with_exact).unwrap_or_default(),
         }
     }
 }
--- a/src/data_plane/worker_response.rs
+++ b/src/data_plane/worker_response.rs
@@ -1,4 +1,4 @@
-//! The answer of a worker as it comes in.
+//! A worker's response whose body is still being received.
 
 use super::outstanding::OutstandingAttempt;
 use super::pool::Lease;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use switchhill_routing::AttemptOutcome;
 
-/// An answer whose head has come. Dropping it closes the connection, so that the worker stops.
+/// A response whose head has been received. Dropping it closes the connection, so that the worker stops.
 pub(crate) struct WorkerResponse {
     pub(crate) head: Parts,
     pub(crate) attempt: OutstandingAttempt,
@@ -19,46 +19,46 @@
     lease: Lease,
 }
 
-/// The next of a body.
+/// Result of one read from the body.
 pub(crate) enum BodyRead {
-    /// Some bytes.
+    /// The next bytes.
     Data(Bytes),
-    /// The proper end.
+    /// The regular end of the body.
     End,
-    /// The connection failed first.
+    /// The connection failed before the end.
     Broken,
 }
 
-/// A body read up to a limit.
+/// Result of reading a body up to a limit.
 pub(crate) enum BufferedBody {
-    /// All of it.
+    /// The whole body.
     Complete(Bytes),
-    /// It is longer than the limit; these are its first bytes.
+    /// The body is longer than the limit; these are its first bytes.
     ExceedsLimit(Bytes),
-    /// The connection failed first.
+    /// The connection failed before the end.
     Broken,
 }
 
 impl WorkerResponse {
-    /// An answer that begins on a leased connection.
+    /// A response that was received on a leased connection.
     pub(crate) fn new(
-        answer: Response<Incoming>,
+        response: Response<Incoming>,
         lease: Lease,
         attempt: OutstandingAttempt,
     ) -> WorkerResponse {
-        let (head, body) = answer.into_parts();
+        let (head, body) = response.into_parts();
         WorkerResponse { head, body, lease, attempt }
     }
 
-    /// Waits for the next bytes of the body.
-    pub(crate) async fn next_step(&mut self) -> BodyRead {
+    /// Reads the next bytes of the body.
+    pub(crate) async fn read_next(&mut self) -> BodyRead {
         loop {
             match self.body.frame().await {
                 None => return BodyRead::End,
                 Some(Err(_)) => return BodyRead::Broken,
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => return BodyRead::Data(data),
-                    // Trailers concern only this connection.
+                    // Trailers apply only to this connection and are not forwarded.
                     Err(_) => continue,
                 },
             }
@@ -70,7 +70,7 @@
         let mut first: Option<Bytes> = None;
         let mut joined = BytesMut::new();
         loop {
-            match self.next_step().await {
+            match self.read_next().await {
                 BodyRead::Broken => return BufferedBody::Broken,
                 BodyRead::End => return BufferedBody::Complete(first.unwrap_or_else(|| joined.freeze())),
                 BodyRead::Data(data) if first.is_none() && joined.is_empty() => first = Some(data),
@@ -86,10 +86,11 @@
         }
     }
 
-    /// Ends the attempt after the whole body; the connection is kept if the worker keeps it.
+    /// Ends the attempt after the whole body. The connection is returned to the pool if the worker keeps it
+    /// open.
     pub(crate) fn complete(self, outcome: AttemptOutcome) {
         self.attempt.finish(outcome);
-        self.lease.return_to_pool(idle_time(&self.head.headers));
+        self.lease.return_to_pool(keep_alive_timeout(&self.head.headers));
     }
 
     /// Ends the attempt and closes the connection.
@@ -97,7 +98,7 @@
         self.attempt.finish(outcome);
     }
 
-    /// How a whole answer counts for the worker.
+    /// Outcome that a complete response counts as for its worker.
     pub(crate) fn outcome(&self) -> AttemptOutcome {
         match self.head.status.is_success() {
             true => AttemptOutcome::Success,
@@ -105,13 +106,14 @@
         }
     }
 
-    /// Whether the body ends with its connection. An end in order then is the end of the body; a reset is not.
+    /// Whether the body is delimited by the end of the connection. An orderly close then ends the body; a
+    /// reset does not.
     pub(crate) fn ends_with_connection(&self) -> bool {
         let headers = &self.head.headers;
         !headers.contains_key(CONTENT_LENGTH) && !headers.contains_key(TRANSFER_ENCODING)
     }
 
-    /// Whether the body is a series of events.
+    /// Whether the response is a successful stream of server-sent events.
     pub(crate) fn is_event_stream(&self) -> bool {
         let content_type = self.head.headers.get(hyper::header::CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok()).unwrap_or_default();
@@ -119,8 +121,8 @@
     }
 }
 
-/// The time in which the worker keeps an idle connection, if it tells one.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
+/// Keep-alive timeout that the worker announces, if any.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let parameters = value.split(',').map(str::trim);
     let seconds = parameters.filter_map(|parameter| parameter.strip_prefix("timeout=")).next()?;
