--- a/src/data_plane/clock.rs
+++ b/src/data_plane/clock.rs
@@ -1,9 +1,10 @@
-//! The clock of the data plane's decisions.
+//! Monotonic clock on which the data plane bases its decisions.
 
 use std::sync::OnceLock;
 use tokio::time::Instant;
 
-/// Milliseconds of a steady clock that starts with the process. [`super::View`] and router use the same.
+/// Milliseconds since the first call, on a monotonic clock. The times in [`super::View`] and in the router
+/// are on the same clock.
 pub fn now_ms() -> u64 {
     static START: OnceLock<Instant> = OnceLock::new();
     let start = START.get_or_init(Instant::now);
--- a/src/data_plane/connector.rs
+++ b/src/data_plane/connector.rs
@@ -1,4 +1,4 @@
-//! How byte streams to workers come up, and what is set on the sockets of the data plane.
+//! Connecting to workers, and the socket options of the data plane.
 
 use super::policy;
 use socket2::{SockRef, TcpKeepalive};
@@ -11,24 +11,24 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// Interval of the probes that find out whether a silent machine is still there.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of the TCP keep-alive probes that detect whether a silent peer is still alive.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bytes to and from a worker.
+/// Byte stream to a worker.
 pub(crate) trait WorkerStream: AsyncRead + AsyncWrite + Unpin {}
 
 impl<S: AsyncRead + AsyncWrite + Unpin> WorkerStream for S {}
 
-/// A stream that comes up. Dropping it gives the connection up.
+/// A connection attempt in progress. Dropping it cancels the attempt.
 pub(crate) type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Box<dyn WorkerStream>>>>>;
 
-/// Opens streams to workers.
+/// Opens connections to workers.
 pub(crate) trait Connector: fmt::Debug {
-    /// Connects; the caller bounds the time.
+    /// Connects to a worker. The caller applies the timeout.
     fn connect(&self, address: SocketAddr) -> ConnectFuture;
 }
 
-/// Connects by TCP.
+/// Connects over TCP.
 #[derive(Debug)]
 pub(crate) struct TcpConnector;
 
@@ -42,12 +42,12 @@
     }
 }
 
-/// Sends small writes at once, ends a connection whose other side has been silent for this long, and probes it
-/// while it rests.
-pub(crate) fn set_socket_options(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+/// Disables Nagle's algorithm, closes the connection when sent data remains unacknowledged for
+/// `user_timeout`, and sends keep-alive probes after the connection has been idle for the same time.
+pub(crate) fn set_socket_options(stream: &TcpStream, user_timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(silence))?;
-    let probe = TcpKeepalive::new().with_time(silence).with_interval(PROBE_INTERVAL);
-    socket.set_tcp_keepalive(&probe)
+    socket.set_tcp_user_timeout(Some(user_timeout))?;
+    let keepalive = TcpKeepalive::new().with_time(user_timeout).with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&keepalive)
 }
--- a/src/data_plane/count_guard.rs
+++ b/src/data_plane/count_guard.rs
@@ -1,16 +1,16 @@
-//! Counts of what is alive.
+//! Counter of live objects.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts one thing for as long as it lives.
+/// Increments a counter, and decrements it when dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard {
     count: Rc<Cell<u32>>,
 }
 
 impl CountGuard {
-    /// Counts one more.
+    /// Increments the counter.
     pub(crate) fn new(count: &Rc<Cell<u32>>) -> CountGuard {
         count.set(count.get() + 1);
         CountGuard { count: count.clone() }
--- a/src/data_plane/event_stream.rs
+++ b/src/data_plane/event_stream.rs
@@ -1,71 +1,71 @@
-//! Splitting of a `text/event-stream` body into whole events.
+//! Splitting of a `text/event-stream` body into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// One event with the blank line that ends it.
+/// One event, including the blank line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Event {
-    /// Its bytes as they came.
+    /// The event as received.
     pub(crate) bytes: Bytes,
-    /// The number of its `id` line.
+    /// Value of the `id` field.
     pub(crate) id: Option<u64>,
-    /// The number of its `versions` line.
+    /// Value of the `versions` field.
     pub(crate) versions: Option<u64>,
-    /// It has no field, only comments.
+    /// Whether the event has only comments and no field.
     pub(crate) is_comment: bool,
 }
 
-/// Collects bytes until an event is whole.
+/// Buffers received bytes and splits them into events.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes of the buffer in which no end of an event begins.
+    /// Length of the buffer's prefix in which no event terminator begins.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes the next bytes of the body.
+    /// Appends the next bytes of the body.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub(crate) fn next_event(&mut self) -> Option<Event> {
-        match find_end(&self.buffer, self.searched) {
+        match find_event_end(&self.buffer, self.searched) {
             Some(end) => {
                 self.searched = 0;
-                Some(read_event(self.buffer.split_to(end).freeze()))
+                Some(parse_event(self.buffer.split_to(end).freeze()))
             }
             None => {
-                self.searched = self.buffer.len().saturating_sub(LONGEST_END - 1);
+                self.searched = self.buffer.len().saturating_sub(MAX_TERMINATOR_LEN - 1);
                 None
             }
         }
     }
 
-    /// Whether nothing is left of what was pushed.
+    /// Whether no bytes are buffered.
     pub(crate) fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// What is left of the body once it has ended.
+    /// Removes and returns the buffered bytes, which belong to no complete event.
     pub(crate) fn take_rest(&mut self) -> Bytes {
         self.searched = 0;
         self.buffer.split().freeze()
     }
 
-    /// Forgets an event that never became whole.
+    /// Discards an incomplete event.
     pub(crate) fn clear(&mut self) {
         self.buffer.clear();
         self.searched = 0;
     }
 }
 
-/// Length of the longest end of an event, `\r\n\r\n`.
-const LONGEST_END: usize = 4;
+/// Length of the longest event terminator, `\r\n\r\n`.
+const MAX_TERMINATOR_LEN: usize = 4;
 
-/// The offset after the first blank line whose line ends begin at or after `from`.
-fn find_end(bytes: &[u8], from: usize) -> Option<usize> {
+/// Offset after the first event terminator that begins at or after `from`.
+fn find_event_end(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).find_map(|at| {
         let rest = &bytes[at..];
         if rest.starts_with(b"\n\n") || rest.starts_with(b"\r\r") {
@@ -78,19 +78,19 @@
     })
 }
 
-fn read_event(bytes: Bytes) -> Event {
+fn parse_event(bytes: Bytes) -> Event {
     let mut event = Event { bytes: bytes.clone(), id: None, versions: None, is_comment: true };
     for line in bytes.split(|byte| matches!(byte, b'\n' | b'\r')) {
         event.is_comment &= line.is_empty() || line.starts_with(b":");
         if let Some(value) = line.strip_prefix(b"id:") {
-            event.id = read_number(value);
+            event.id = parse_number(value);
         } else if let Some(value) = line.strip_prefix(b"versions:") {
-            event.versions = read_number(value);
+            event.versions = parse_number(value);
         }
     }
     event
 }
 
-fn read_number(value: &[u8]) -> Option<u64> {
+fn parse_number(value: &[u8]) -> Option<u64> {
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
--- a/src/data_plane/flush_tracking.rs
+++ b/src/data_plane/flush_tracking.rs
@@ -1,9 +1,9 @@
-//! A stream that knows whether all that was written has gone out.
+//! Stream wrapper that tracks whether all written data has been flushed.
 //!
-//! The HTTP library takes a connection to a worker for ready once an answer has been read, also while the rest of the
-//! request before it is still in its buffer: a worker may answer before it has read a long body. Another request on such
-//! a connection would wait behind that body. On a client's connection the library may hold the end of an answer that
-//! has been handed to it whole, until a slow client has read what came before.
+//! The HTTP library considers a worker connection ready as soon as the response has been read, even if the
+//! rest of the request is still in its write buffer: a worker may respond before it has read a long body.
+//! Another request on such a connection would wait behind that body. On a client connection the library may
+//! still buffer the end of a complete response until a slow client has read the data before it.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
@@ -13,19 +13,19 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::Notify;
 
-/// Whether all that was to be written has been.
+/// Whether the stream has data that is not flushed yet.
 #[derive(Debug, Default)]
 pub(crate) struct FlushState {
     pending: Cell<bool>,
-    flushed: Notify,
-    /// Streams that have something to write, where they are counted.
+    flush_completed: Notify,
+    /// Counter of streams with unflushed data, if they are counted.
     count: Option<Rc<Cell<u32>>>,
 }
 
 impl FlushState {
-    /// One that counts its stream for as long as something waits to be written.
+    /// A state that includes its stream in `count` while the stream has unflushed data.
     pub(crate) fn counted(count: Rc<Cell<u32>>) -> FlushState {
-        FlushState { pending: Cell::default(), flushed: Notify::default(), count: Some(count) }
+        FlushState { pending: Cell::default(), flush_completed: Notify::default(), count: Some(count) }
     }
 
     fn set_pending(&self, pending: bool) {
@@ -35,15 +35,15 @@
         }
     }
 
-    /// Whether nothing waits to be written.
-    pub(crate) fn is_all(&self) -> bool {
+    /// Whether all written data has been flushed.
+    pub(crate) fn is_flushed(&self) -> bool {
         !self.pending.get()
     }
 
-    /// Waits until nothing waits to be written.
-    pub(crate) async fn all(&self) {
+    /// Waits until all written data has been flushed.
+    pub(crate) async fn flushed(&self) {
         while self.pending.get() {
-            self.flushed.notified().await;
+            self.flush_completed.notified().await;
         }
     }
 }
@@ -54,16 +54,16 @@
     }
 }
 
-/// A stream with its [`FlushState`].
+/// A stream that keeps a [`FlushState`] up to date.
 pub(crate) struct FlushTrackingStream<S> {
     stream: S,
-    written: Rc<FlushState>,
+    state: Rc<FlushState>,
 }
 
 impl<S> FlushTrackingStream<S> {
-    /// Watches a stream.
-    pub(crate) fn new(stream: S, written: Rc<FlushState>) -> FlushTrackingStream<S> {
-        FlushTrackingStream { stream, written }
+    /// Wraps a stream; `state` reports whether it is flushed.
+    pub(crate) fn new(stream: S, state: Rc<FlushState>) -> FlushTrackingStream<S> {
+        FlushTrackingStream { stream, state }
     }
 }
 
@@ -83,7 +83,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.written.set_pending(true);
+        self.state.set_pending(true);
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
@@ -92,7 +92,7 @@
         context: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.written.set_pending(true);
+        self.state.set_pending(true);
         Pin::new(&mut self.stream).poll_write_vectored(context, slices)
     }
 
@@ -100,11 +100,12 @@
         self.stream.is_write_vectored()
     }
 
-    /// The library flushes only after it has written all of its buffer.
+    /// The HTTP library flushes only after it has written its whole buffer, so a completed flush means that
+    /// nothing is pending.
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_flush(context))?;
-        self.written.set_pending(false);
-        self.written.flushed.notify_waiters();
+        self.state.set_pending(false);
+        self.state.flush_completed.notify_waiters();
         Poll::Ready(Ok(()))
     }
 
--- a/src/data_plane/worker_connection.rs
+++ b/src/data_plane/worker_connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to a worker.
+//! HTTP/1.1 connection to a worker.
 
 use super::connector::WorkerStream;
 use super::flush_tracking::{FlushState, FlushTrackingStream};
@@ -11,62 +11,62 @@
 use std::rc::Rc;
 use tokio::task::JoinHandle;
 
-/// Why a request got no answer on a connection.
+/// Why a request got no response on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SendError {
     /// The connection was closed before any byte of the request was written.
     NotSent,
-    /// The connection failed, or what came is no answer: the request may have run.
+    /// The connection failed, or the data received is no valid response: the request may have run.
     Broken,
 }
 
-/// A connection with the task that drives it. Dropping it closes the socket at once.
+/// A connection and the task that drives it. Dropping it closes the socket immediately.
 #[derive(Debug)]
 pub(crate) struct WorkerConnection {
     sender: SendRequest<Full<Bytes>>,
-    written: Rc<FlushState>,
+    flush_state: Rc<FlushState>,
     driver: JoinHandle<()>,
 }
 
 impl WorkerConnection {
-    /// Speaks HTTP over a stream that has come up.
+    /// Sets up HTTP/1.1 on a connected stream.
     pub(crate) async fn handshake(stream: Box<dyn WorkerStream>) -> hyper::Result<WorkerConnection> {
-        let written = Rc::new(FlushState::default());
-        let stream = TokioIo::new(FlushTrackingStream::new(stream, written.clone()));
+        let flush_state = Rc::new(FlushState::default());
+        let stream = TokioIo::new(FlushTrackingStream::new(stream, flush_state.clone()));
         let (sender, connection) = http1::Builder::new().handshake(stream).await?;
         let driver = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!("connection to a worker: {error}");
+                log::debug!("worker connection failed: {error}");
             }
         });
-        Ok(WorkerConnection { sender, written, driver })
+        Ok(WorkerConnection { sender, flush_state, driver })
     }
 
-    /// Whether the next request can be sent at once.
+    /// Whether the next request can be sent immediately.
     pub(crate) fn is_ready(&self) -> bool {
-        self.sender.is_ready() && !self.sender.is_closed() && self.written.is_all()
+        self.sender.is_ready() && !self.sender.is_closed() && self.flush_state.is_flushed()
     }
 
-    /// Whether no request can be sent any more.
+    /// Whether the connection is closed, so that no further request can be sent.
     pub(crate) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until the connection has finished its last exchange, the request's body included; fails if it closes
-    /// instead.
+    /// Waits until the previous exchange is complete and its request body has been written. Fails if the
+    /// connection closes before that.
     pub(crate) async fn ready(&mut self) -> Result<(), SendError> {
         self.sender.ready().await.map_err(|_| SendError::NotSent)?;
-        self.written.all().await;
+        self.flush_state.flushed().await;
         self.sender.ready().await.map_err(|_| SendError::NotSent)
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, SendError> {
-        let sent = self.sender.try_send_request(request).await;
-        sent.map_err(|mut failure| match failure.take_message() {
+        let result = self.sender.try_send_request(request).await;
+        result.map_err(|mut error| match error.take_message() {
             Some(_) => SendError::NotSent,
             None => SendError::Broken,
         })
