--- a/src/data_plane/request_log.rs
+++ b/src/data_plane/request_log.rs
@@ -1,7 +1,8 @@
-//! One line of the log for each request that was answered late, refused, or not answered whole.
+//! Log line for each request that was late, refused or not completed.
 //!
-//! The line tells where the time went: the wait for a worker, the wait for the first byte, the longest pause of a
-//! stream. Lines are bounded by [`LogRateLimiter`], so that a day on which everything is late costs no more than this.
+//! The line contains the wait for a worker, the time to the first byte and the longest pause of a stream.
+//! Lines are limited by [`LogRateLimiter`], so that the cost of logging stays bounded when every request is
+//! late.
 
 use super::exchange::{AttemptHistory, Exchange};
 use super::replies::LocalReply;
@@ -12,55 +13,56 @@
 use switchhill_routing::RequestProfile;
 use tokio::time::Instant;
 
-/// Lines that may be written at once after a quiet time.
-const MOST_LINES: f64 = 20.0;
-/// Lines a second over time.
+/// Maximum number of lines in a burst.
+const MAX_BURST_LINES: f64 = 20.0;
+/// Sustained rate in lines per second.
 const LINES_PER_S: f64 = 5.0;
 
-/// A token bucket over the lines of one process.
+/// Token bucket that limits the log lines of the process.
 #[derive(Debug)]
 pub(crate) struct LogRateLimiter {
-    lines: Cell<f64>,
-    at: Cell<Instant>,
-    /// Lines left out since the last one written.
-    left_out: Cell<u32>,
+    tokens: Cell<f64>,
+    refilled_at: Cell<Instant>,
+    /// Lines suppressed since the last written line.
+    suppressed: Cell<u32>,
 }
 
-/// How a request ended for its client.
+/// How a request ended from the client's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum RequestEnd {
-    /// The answer was not passed on whole: its worker, its client or this process left first, or its time was over.
+    /// The response was not forwarded completely: the worker failed, the client disconnected, the process
+    /// ended or the deadline passed.
     #[default]
     Incomplete,
-    /// A worker's whole answer.
+    /// A worker's response was forwarded completely.
     Completed,
-    /// The gatekeeper's own answer.
+    /// The gatekeeper responded itself.
     Local(LocalReply),
 }
 
-/// When the parts of one request's answer came.
+/// Times at which the parts of a response arrived.
 #[derive(Debug, Clone)]
 pub(crate) struct Timeline {
     route: String,
-    /// Objective for the first byte.
-    aim: Duration,
-    /// Longest pause that still keeps a stream in time.
-    longest_gap_allowed: Option<Duration>,
-    sent_at: Option<Instant>,
+    /// Latency target for the first byte.
+    target_latency: Duration,
+    /// Longest pause of a stream that does not count as late.
+    max_gap: Option<Duration>,
+    first_sent_at: Option<Instant>,
     first_byte_at: Option<Instant>,
-    last_event_at: Option<Instant>,
+    last_chunk_at: Option<Instant>,
     longest_gap: Duration,
-    pieces: u32,
+    chunks: u32,
     waited_for_model: bool,
     worker: String,
     pub(crate) end: RequestEnd,
 }
 
-/// A request that is over, as its line tells it.
-struct Line<'a> {
+/// Log line of a finished request.
+struct LogLine<'a> {
     timeline: &'a Timeline,
     profile: &'a RequestProfile,
-    trail: &'a AttemptHistory,
+    history: &'a AttemptHistory,
     arrived: Instant,
     now: Instant,
 }
@@ -68,78 +70,80 @@
 impl Default for LogRateLimiter {
     fn default() -> Self {
         LogRateLimiter {
-            lines: Cell::new(MOST_LINES),
-            at: Cell::new(Instant::now()),
-            left_out: Cell::default(),
+            tokens: Cell::new(MAX_BURST_LINES),
+            refilled_at: Cell::new(Instant::now()),
+            suppressed: Cell::default(),
         }
     }
 }
 
 impl LogRateLimiter {
-    /// Whether a line may be written now, and if so how many were left out before it.
+    /// Takes a token. Returns the number of lines suppressed since the last written one, or `None` if this
+    /// line is to be suppressed too.
     pub(crate) fn take(&self, now: Instant) -> Option<u32> {
-        let elapsed = now.saturating_duration_since(self.at.replace(now));
-        let lines = (self.lines.get() + elapsed.as_secs_f64() * LINES_PER_S).min(MOST_LINES);
-        if lines < 1.0 {
-            self.lines.set(lines);
-            self.left_out.set(self.left_out.get() + 1);
+        let elapsed = now.saturating_duration_since(self.refilled_at.replace(now));
+        let tokens = (self.tokens.get() + elapsed.as_secs_f64() * LINES_PER_S).min(MAX_BURST_LINES);
+        if tokens < 1.0 {
+            self.tokens.set(tokens);
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
-        self.lines.set(lines - 1.0);
-        Some(self.left_out.take())
+        self.tokens.set(tokens - 1.0);
+        Some(self.suppressed.take())
     }
 }
 
 impl Timeline {
-    /// A request of the route that has just been admitted.
+    /// Timeline of a request that has just been admitted on the route.
     pub(crate) fn new(route: &Route) -> Timeline {
         Timeline {
             route: route.name.clone(),
-            aim: Duration::from_millis(route.target_latency_ms),
-            longest_gap_allowed: route.gap_aim_ms.map(Duration::from_millis),
-            sent_at: None,
+            target_latency: Duration::from_millis(route.target_latency_ms),
+            max_gap: route.gap_aim_ms.map(Duration::from_millis),
+            first_sent_at: None,
             first_byte_at: None,
-            last_event_at: None,
+            last_chunk_at: None,
             longest_gap: Duration::ZERO,
-            pieces: 0,
+            chunks: 0,
             waited_for_model: false,
             worker: String::new(),
             end: RequestEnd::default(),
         }
     }
 
-    /// The request waits for a model, an adapter or a first worker.
+    /// Records that the request waits for a model, an adapter or a first worker.
     pub(crate) fn record_model_wait(&mut self) {
         self.waited_for_model = true;
     }
 
-    /// The request is being written to a worker.
+    /// Records that the request is being sent to a worker.
     pub(crate) fn record_sent(&mut self, now: Instant, worker: &str) {
-        self.sent_at.get_or_insert(now);
+        self.first_sent_at.get_or_insert(now);
         worker.clone_into(&mut self.worker);
     }
 
-    /// Bytes of the answer are passed on.
+    /// Records that response data is forwarded.
     pub(crate) fn record_chunk(&mut self, now: Instant) {
-        self.pieces += 1;
+        self.chunks += 1;
         self.first_byte_at.get_or_insert(now);
-        if let Some(last) = self.last_event_at.replace(now) {
+        if let Some(last) = self.last_chunk_at.replace(now) {
             self.longest_gap = self.longest_gap.max(now.saturating_duration_since(last));
         }
     }
 
-    /// Whether the client got less than an answer in time.
+    /// Whether the request was late or not completed, and so is logged.
     pub(crate) fn is_notable(&self, arrived: Instant) -> bool {
-        let late = self.first_byte_at.is_some_and(|at| at.saturating_duration_since(arrived) > self.aim);
-        let paused = self.longest_gap_allowed.is_some_and(|allowed| self.longest_gap > allowed);
+        let late =
+            self.first_byte_at.is_some_and(|at| at.saturating_duration_since(arrived) > self.target_latency);
+        let paused = self.max_gap.is_some_and(|max_gap| self.longest_gap > max_gap);
         self.end != RequestEnd::Completed || late || paused
     }
 }
 
-impl fmt::Display for Line<'_> {
+impl fmt::Display for LogLine<'_> {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Line { timeline, profile, trail, arrived, now } = self;
-        let since = |at: Option<Instant>| {
+        let LogLine { timeline, profile, history, arrived, now } = self;
+        let elapsed_ms = |at: Option<Instant>| {
             at.map_or(-1, |at| at.saturating_duration_since(*arrived).as_millis() as i64)
         };
         let end = match timeline.end {
@@ -157,14 +161,14 @@
             profile.adapter.as_deref().unwrap_or("-"),
             profile.prompt_tokens,
             timeline.worker,
-            trail.sent,
-            trail.unsent,
+            history.sent,
+            history.unsent,
             timeline.waited_for_model,
-            since(timeline.sent_at),
-            since(timeline.first_byte_at),
+            elapsed_ms(timeline.first_sent_at),
+            elapsed_ms(timeline.first_byte_at),
             timeline.longest_gap.as_millis(),
-            timeline.pieces,
-            since(Some(*now)),
+            timeline.chunks,
+            elapsed_ms(Some(*now)),
         )
     }
 }
@@ -175,14 +179,14 @@
             return;
         }
         let now = Instant::now();
-        let Some(left_out) = self.shared.log_rate_limiter.take(now) else { return };
-        let line = Line {
+        let Some(suppressed) = self.shared.log_rate_limiter.take(now) else { return };
+        let line = LogLine {
             timeline: &self.timeline,
             profile: &self.profile,
-            trail: &self.history,
+            history: &self.history,
             arrived: self.arrived,
             now,
         };
-        log::info!("{line} left_out={left_out}");
+        log::info!("{line} left_out={suppressed}");
     }
 }
--- a/src/data_plane/server.rs
+++ b/src/data_plane/server.rs
@@ -1,4 +1,4 @@
-//! The data plane as a whole: listeners, periodic work, shutdown.
+//! The data plane server: listeners, periodic tasks and shutdown.
 
 use super::drain::shut_down;
 use super::feedback::Feedback;
@@ -29,10 +29,10 @@
 }
 
 impl DataPlane {
-    /// Opens the listeners that the settings name. It needs the context of a runtime.
+    /// Opens the configured listeners. Must be called within a Tokio runtime.
     ///
     /// # Errors
-    /// An address cannot be listened on, or there is none for clients.
+    /// If an address cannot be listened on, or if none is configured for clients.
     pub fn bind(settings: SiteSettings) -> anyhow::Result<DataPlane> {
         let http = settings.bind.http.context("bind.http: the data plane needs an address")?;
         Ok(DataPlane {
@@ -43,28 +43,28 @@
         })
     }
 
-    /// The address for clients.
+    /// The address on which clients connect.
     ///
     /// # Errors
-    /// The system does not tell it.
+    /// If the operating system does not report the address.
     pub fn http_address(&self) -> std::io::Result<SocketAddr> {
         self.http.local_addr()
     }
 
-    /// The address for readiness checks, where there is one.
+    /// The address for readiness checks, if one is configured.
     pub fn readiness_address(&self) -> Option<SocketAddr> {
         self.readiness.as_ref()?.local_addr().ok()
     }
 
-    /// Starts the shutdown from elsewhere.
+    /// A handle with which other tasks can start the shutdown.
     pub fn shutdown_handle(&self) -> ShutdownHandle {
         self.shutdown.clone()
     }
 
-    /// Serves until a shutdown has been carried out. It runs inside a [`tokio::task::LocalSet`].
+    /// Serves until a shutdown is complete. Must run inside a [`tokio::task::LocalSet`].
     ///
     /// # Errors
-    /// None at present; a caller ends the process with them.
+    /// None at present. Callers have to treat an error as fatal to the process.
     pub async fn serve(
         self,
         views: watch::Receiver<Arc<View>>,
@@ -85,20 +85,20 @@
     }
 }
 
-/// Work that is done again and again, and how often.
-type RepeatedWork = (Duration, fn(&Shared));
+/// Interval and function of a periodic task.
+type PeriodicTask = (Duration, fn(&Shared));
 
-/// Starts what the data plane does by the clock.
+/// Starts the periodic tasks of the data plane.
 pub(crate) fn spawn_periodic_tasks(shared: &Rc<Shared>, tasks: &mut JoinSet<()>) {
-    let repeated: [RepeatedWork; 4] = [
+    let periodic: [PeriodicTask; 4] = [
         (policy::HOUSEKEEPING_INTERVAL, Shared::tick),
         (policy::SUMMARY_INTERVAL, Shared::summarize),
         (policy::STALL_CHECK_INTERVAL, Shared::check_stalled_workers),
         (policy::REFUSAL_LOG_INTERVAL, Shared::log_refusals),
     ];
-    for (every, work) in repeated {
+    for (interval, task) in periodic {
         let shared = shared.clone();
-        tasks.spawn_local(repeat(every, move || work(&shared)));
+        tasks.spawn_local(run_periodically(interval, move || task(&shared)));
     }
 }
 
@@ -109,27 +109,27 @@
         socket.bind(address)?;
         socket.listen(policy::LISTEN_BACKLOG)
     };
-    open().with_context(|| format!("listening on {address}"))
+    open().with_context(|| format!("failed to listen on {address}"))
 }
 
-/// Hands each new view over to the shared state, until the agent's side has gone.
+/// Applies each new view to the shared state until the agent has closed the channel.
 pub(super) async fn apply_views(shared: Rc<Shared>, mut views: watch::Receiver<Arc<View>>) {
     loop {
         let view = views.borrow_and_update().clone();
         shared.apply_view(view);
         if views.changed().await.is_err() {
-            // The agent's side has gone: the newest view stays in force.
+            // The agent has closed the channel; the last view stays in effect.
             return;
         }
     }
 }
 
-/// Does something again and again.
-async fn repeat(every: Duration, mut work: impl FnMut()) {
-    let mut ticks = tokio::time::interval(every);
+/// Runs a task at an interval.
+async fn run_periodically(interval: Duration, mut task: impl FnMut()) {
+    let mut ticks = tokio::time::interval(interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        work();
+        task();
     }
 }
