--- a/src/data_plane/interleavings.rs
+++ b/src/data_plane/interleavings.rs
@@ -1,8 +1,8 @@
-//! Tests: hand-overs between tasks of the data plane through all interleavings of the tasks.
+//! Tests of notifications between tasks of the data plane under all interleavings of the tasks.
 //!
-//! All tasks run on one thread and give way only where they wait, so an interleaving is an order of the tasks between two
-//! waits. The types are the program's; waits never time out here, so a wake-up that is lost is a deadlock, which the run
-//! reports.
+//! All tasks run on one thread and yield only at await points, so an interleaving is an order of the tasks
+//! between two await points. The tests use the production types. Waits have no timeout here, so a lost
+//! wake-up is a deadlock, which the scheduler reports.
 
 use super::server::apply_views;
 use super::shared::Shared;
@@ -23,19 +23,19 @@
 
 const WORKER: &str = "w-1";
 
-/// Stack of a task in bytes: the shared state is made on it.
-const STACK: usize = 1 << 20;
+/// Stack size of a task in bytes. The shared state is constructed on the stack.
+const STACK_SIZE: usize = 1 << 20;
 
-/// Fewer interleavings than this would show nothing.
-const LEAST_RUNS: usize = 10;
+/// Minimum number of interleavings. With fewer, the tasks of a test do not run concurrently.
+const MIN_INTERLEAVINGS: usize = 10;
 
-/// Runs a test through all interleavings of its tasks.
+/// Runs a test once for each interleaving of its tasks.
 fn in_all_interleavings<F: Future<Output = ()>>(test: impl Fn() -> F + Send + Sync + 'static) {
     let mut config = shuttle::Config::new();
-    config.stack_size = STACK;
-    let all = DfsScheduler::new(None, false);
-    let runs = shuttle::Runner::new(all, config).run(move || block_on(test()));
-    assert!(runs >= LEAST_RUNS, "{runs} interleavings: the tasks do not run side by side");
+    config.stack_size = STACK_SIZE;
+    let scheduler = DfsScheduler::new(None, false);
+    let runs = shuttle::Runner::new(scheduler, config).run(move || block_on(test()));
+    assert!(runs >= MIN_INTERLEAVINGS, "only {runs} interleavings: the tasks do not run concurrently");
 }
 
 fn view(state: Availability, gatekeepers: u32) -> Arc<View> {
@@ -65,13 +65,14 @@
     shared.router.borrow().key(WORKER).expect("the worker is known")
 }
 
-/// The feed publishes views one after the other, the data plane takes them, an attempt waits for its worker to leave.
-async fn views_are_handed_over() {
+/// The feed publishes several views, the data plane applies them, and an attempt waits for its worker to
+/// become unavailable.
+async fn wait_for_unavailable_worker() {
     let (views, received) = watch::channel(view(Availability::Ready, 1));
     let shared = shared();
     shared.apply_view(received.borrow().clone());
     let worker = key(&shared);
-    let taking = spawn_local(apply_views(shared.clone(), received));
+    let applying = spawn_local(apply_views(shared.clone(), received));
     let waiting = {
         let shared = shared.clone();
         spawn_local(async move { shared.worker_becomes_unavailable(worker).await })
@@ -80,45 +81,45 @@
     views.send_replace(view(Availability::Ready, 2));
     yield_now().await;
     views.send_replace(view(Availability::Draining, 3));
-    waiting.await.expect("the attempt hears of it");
+    waiting.await.expect("the attempt is notified");
     assert!(!shared.may_send(worker));
     drop(views);
-    taking.await.expect("it ends with the feed");
-    assert_eq!(shared.view().gatekeepers, 3, "the newest view is the one in force");
+    applying.await.expect("the task ends when the feed closes the channel");
+    assert_eq!(shared.view().gatekeepers, 3, "the last view is in effect");
 }
 
 #[test]
-fn a_worker_that_leaves_is_heard_of_in_all_interleavings() {
-    in_all_interleavings(views_are_handed_over);
+fn unavailable_worker_notifies_attempts_in_all_interleavings() {
+    in_all_interleavings(wait_for_unavailable_worker);
 }
 
-/// Two attempts wait for their workers to fall silent, while sets of silent workers come.
-async fn silence_is_heard_of() {
+/// Two attempts wait for their worker to stall while the set of stalled workers is replaced.
+async fn wait_for_stalled_worker() {
     let shared = shared();
     shared.apply_view(view(Availability::Ready, 1));
-    let (worker, silent) = (key(&shared), Rc::new(StalledWorkers::default()));
+    let (worker, stalled) = (key(&shared), Rc::new(StalledWorkers::default()));
     let waiting: Vec<_> = (0..2)
         .map(|_| {
-            let silent = silent.clone();
-            spawn_local(async move { silent.wait_for(worker).await })
+            let stalled = stalled.clone();
+            spawn_local(async move { stalled.wait_for(worker).await })
         })
         .collect();
     yield_now().await;
-    silent.replace(Vec::new());
+    stalled.replace(Vec::new());
     yield_now().await;
-    silent.replace(vec![worker]);
-    for one in waiting {
-        one.await.expect("it hears of it");
+    stalled.replace(vec![worker]);
+    for task in waiting {
+        task.await.expect("the task is notified");
     }
 }
 
 #[test]
-fn a_silent_worker_is_heard_of_in_all_interleavings() {
-    in_all_interleavings(silence_is_heard_of);
+fn stalled_worker_notifies_attempts_in_all_interleavings() {
+    in_all_interleavings(wait_for_stalled_worker);
 }
 
-/// Tasks wait for the phases of an end, which begins from two sides.
-async fn phases_are_reached() {
+/// Tasks wait for shutdown phases while two tasks advance the shutdown.
+async fn wait_for_shutdown_phases() {
     let shutdown = ShutdownHandle::new();
     let order = Rc::new(RefCell::new(Vec::new()));
     let waiting: Vec<_> = [Phase::Closing, Phase::Draining]
@@ -130,31 +131,32 @@
             })
         })
         .into();
-    let begun = shutdown.clone();
-    let beginning = spawn_local(async move { begun.begin() });
+    let handle = shutdown.clone();
+    let beginning = spawn_local(async move { handle.begin() });
     yield_now().await;
     shutdown.advance(Phase::Closing);
     beginning.await.expect("no panic");
-    for one in waiting {
-        one.await.expect("it hears of it");
+    for task in waiting {
+        task.await.expect("the task is notified");
     }
-    assert_eq!(shutdown.phase(), Phase::Closing, "a late begin takes nothing back");
-    assert!(order.borrow().iter().all(|(awaited, present)| present >= awaited));
+    assert_eq!(shutdown.phase(), Phase::Closing, "a late begin does not move the phase back");
+    assert!(order.borrow().iter().all(|(awaited, current)| current >= awaited));
 }
 
 #[test]
-fn phases_of_the_end_are_heard_of_in_all_interleavings() {
-    in_all_interleavings(phases_are_reached);
+fn shutdown_phases_notify_waiters_in_all_interleavings() {
+    in_all_interleavings(wait_for_shutdown_phases);
 }
 
-/// The planted fault: the same wait with a gap between the look and the wait, in which another task may run.
+/// Deliberately faulty version of [`StalledWorkers`]: another task can run between the check and the wait, so
+/// that the notification is lost.
 #[derive(Default)]
-struct WithAGap {
+struct RacyStalledWorkers {
     workers: RefCell<HashSet<u32>>,
     changed: Notify,
 }
 
-impl WithAGap {
+impl RacyStalledWorkers {
     async fn wait_for(&self, worker: u32) {
         while !self.workers.borrow().contains(&worker) {
             yield_now().await;
@@ -164,18 +166,18 @@
 }
 
 #[test]
-fn planted_gap_between_look_and_wait_is_noticed() {
+fn lost_wake_up_between_check_and_wait_is_detected() {
     let run = || {
         in_all_interleavings(|| async {
-            let silent = Rc::new(WithAGap::default());
+            let stalled = Rc::new(RacyStalledWorkers::default());
             let waiting = {
-                let silent = silent.clone();
-                spawn_local(async move { silent.wait_for(1).await })
+                let stalled = stalled.clone();
+                spawn_local(async move { stalled.wait_for(1).await })
             };
             yield_now().await;
-            silent.workers.borrow_mut().insert(1);
-            silent.changed.notify_waiters();
-            waiting.await.expect("it hears of it");
+            stalled.workers.borrow_mut().insert(1);
+            stalled.changed.notify_waiters();
+            waiting.await.expect("the task is notified");
         });
     };
     assert!(catch_unwind(run).is_err());
--- a/src/data_plane/tests.rs
+++ b/src/data_plane/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parts without sockets.
+//! Unit tests of the data plane's modules that do not use sockets.
 
 mod client_leaves;
 mod every_byte;
@@ -25,7 +25,7 @@
 use hyper::{Request, Response, StatusCode};
 use std::time::Duration;
 
-fn head(headers: &[(&str, &str)]) -> RequestHead {
+fn parse_head(headers: &[(&str, &str)]) -> RequestHead {
     let mut request = Request::builder().uri("/a/b?c=d");
     for (name, value) in headers {
         request = request.header(*name, *value);
@@ -34,8 +34,8 @@
 }
 
 #[gtest]
-fn a_head_is_read() -> Result<()> {
-    let head = head(&[
+fn request_head_is_parsed() -> Result<()> {
+    let head = parse_head(&[
         ("Host", "Some.Example:8080"),
         ("Model", "m1/a2"),
         ("Token-Usage", "1460,80"),
@@ -57,19 +57,19 @@
 }
 
 #[gtest]
-fn a_head_that_cannot_be_read_counts_as_absent() -> Result<()> {
-    let head = head(&[("Token-Usage", "x"), ("Prompt-Prefix", "zz"), ("Request-Deadline-Ms", "-1")]);
+fn invalid_request_headers_are_treated_as_absent() -> Result<()> {
+    let head = parse_head(&[("Token-Usage", "x"), ("Prompt-Prefix", "zz"), ("Request-Deadline-Ms", "-1")]);
     expect_that!(head.prompt_tokens, eq(0));
     expect_that!(head.prompt_parts.len(), eq(0));
     verify_that!(head.deadline, none())
 }
 
-fn verdict(status: u16, headers: &[(&str, &str)]) -> ResponseClass {
-    let mut answer = Response::builder().status(status);
+fn classify_response(status: u16, headers: &[(&str, &str)]) -> ResponseClass {
+    let mut response = Response::builder().status(status);
     for (name, value) in headers {
-        answer = answer.header(*name, *value);
+        response = response.header(*name, *value);
     }
-    let parts = answer.body(()).unwrap().into_parts().0;
+    let parts = response.body(()).unwrap().into_parts().0;
     classify(&parts, Some(&HeaderValue::from_static("r1")))
 }
 
@@ -79,68 +79,74 @@
 const NOT_EXECUTED: (&str, &str) = ("Not-Executed", "1");
 
 #[gtest]
-fn a_stamped_answer_with_the_requests_id_is_delivered() {
-    expect_that!(verdict(200, &[ID, STAMP, LENGTH]), eq(ResponseClass::Forward));
-    expect_that!(verdict(500, &[ID, STAMP, LENGTH]), eq(ResponseClass::Forward));
-    expect_that!(verdict(504, &[ID, STAMP, LENGTH]), eq(ResponseClass::Forward));
-    expect_that!(verdict(404, &[ID, LENGTH]), eq(ResponseClass::Forward));
-    // Whether an answer without a length is whole is seen at its end.
-    expect_that!(verdict(200, &[ID, STAMP]), eq(ResponseClass::Forward));
+fn stamped_response_with_the_request_id_is_forwarded() {
+    expect_that!(classify_response(200, &[ID, STAMP, LENGTH]), eq(ResponseClass::Forward));
+    expect_that!(classify_response(500, &[ID, STAMP, LENGTH]), eq(ResponseClass::Forward));
+    expect_that!(classify_response(504, &[ID, STAMP, LENGTH]), eq(ResponseClass::Forward));
+    expect_that!(classify_response(404, &[ID, LENGTH]), eq(ResponseClass::Forward));
+    // Whether a response without a length is complete is known only at its end.
+    expect_that!(classify_response(200, &[ID, STAMP]), eq(ResponseClass::Forward));
 }
 
 #[gtest]
-fn an_answer_that_proves_nothing_may_have_run() {
-    expect_that!(verdict(200, &[STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
-    expect_that!(verdict(200, &[("Request-Id", "r2"), STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
-    expect_that!(verdict(200, &[ID, ID, STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
-    expect_that!(verdict(200, &[ID, LENGTH]), eq(ResponseClass::MayHaveRun));
-    expect_that!(verdict(101, &[ID, STAMP]), eq(ResponseClass::MayHaveRun));
+fn response_without_proof_means_the_request_may_have_run() {
+    expect_that!(classify_response(200, &[STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
     expect_that!(
-        verdict(200, &[ID, STAMP, LENGTH, ("Content-Encoding", "gzip")]),
+        classify_response(200, &[("Request-Id", "r2"), STAMP, LENGTH]),
+        eq(ResponseClass::MayHaveRun)
+    );
+    expect_that!(classify_response(200, &[ID, ID, STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
+    expect_that!(classify_response(200, &[ID, LENGTH]), eq(ResponseClass::MayHaveRun));
+    expect_that!(classify_response(101, &[ID, STAMP]), eq(ResponseClass::MayHaveRun));
+    expect_that!(
+        classify_response(200, &[ID, STAMP, LENGTH, ("Content-Encoding", "gzip")]),
+        eq(ResponseClass::MayHaveRun)
+    );
+    expect_that!(classify_response(503, &[ID, STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
+    expect_that!(classify_response(429, &[ID, STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
+    expect_that!(
+        classify_response(503, &[("Request-Id", "r2"), NOT_EXECUTED]),
         eq(ResponseClass::MayHaveRun)
     );
-    expect_that!(verdict(503, &[ID, STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
-    expect_that!(verdict(429, &[ID, STAMP, LENGTH]), eq(ResponseClass::MayHaveRun));
-    expect_that!(verdict(503, &[("Request-Id", "r2"), NOT_EXECUTED]), eq(ResponseClass::MayHaveRun));
 }
 
 #[gtest]
-fn only_a_marked_answer_or_a_misdirected_one_proves_that_nothing_ran() {
+fn only_not_executed_or_421_proves_that_the_request_did_not_run() {
     expect_that!(
-        verdict(503, &[ID, NOT_EXECUTED]),
+        classify_response(503, &[ID, NOT_EXECUTED]),
         eq(ResponseClass::NotRun(StatusCode::SERVICE_UNAVAILABLE))
     );
-    expect_that!(verdict(421, &[ID]), eq(ResponseClass::NotRun(StatusCode::MISDIRECTED_REQUEST)));
+    expect_that!(classify_response(421, &[ID]), eq(ResponseClass::NotRun(StatusCode::MISDIRECTED_REQUEST)));
 }
 
 #[gtest]
-fn events_come_out_whole_wherever_the_bytes_are_split() {
+fn events_are_complete_wherever_the_bytes_are_split() {
     let body = b"id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\nversions: 7\nid: 3\n\nid: 4\ndata: cut";
     for split in 0..body.len() {
         let mut splitter = EventSplitter::default();
         let mut events = Vec::new();
-        for part in [&body[..split], &body[split..]] {
-            splitter.push(part);
+        for chunk in [&body[..split], &body[split..]] {
+            splitter.push(chunk);
             events.extend(std::iter::from_fn(|| splitter.next_event()));
         }
         let ids: Vec<_> = events.iter().map(|event| event.id).collect();
         expect_that!(ids, eq(&vec![Some(1), Some(2), Some(3)]), "split at {split}");
         expect_that!(events.last().and_then(|event| event.versions), some(eq(7)), "split at {split}");
-        let mut whole: Vec<u8> = events.iter().flat_map(|event| event.bytes.to_vec()).collect();
-        whole.extend(splitter.take_rest());
-        expect_that!(whole, eq(&body.to_vec()), "split at {split}");
+        let mut output: Vec<u8> = events.iter().flat_map(|event| event.bytes.to_vec()).collect();
+        output.extend(splitter.take_rest());
+        expect_that!(output, eq(&body.to_vec()), "split at {split}");
     }
 }
 
 #[gtest]
-fn descriptors_are_shared_out_below_their_bound() {
-    let shares = ConnectionLimits::from_fd_limit(4100);
-    expect_that!(shares.clients as u64 + u64::from(shares.workers), le(4100 - 200));
+fn connection_limits_stay_below_the_descriptor_limit() {
+    let limits = ConnectionLimits::from_fd_limit(4100);
+    expect_that!(limits.clients as u64 + u64::from(limits.workers), le(4100 - 200));
     expect_that!(ConnectionLimits::from_fd_limit(0), eq(ConnectionLimits { clients: 1, workers: 1 }));
 }
 
 #[gtest]
-fn the_end_fits_before_sigkill() {
+fn shutdown_times_end_before_sigkill() {
     for grace_ms in [500, 1000, 4000, 8000, 30_000] {
         let grace = Duration::from_millis(grace_ms);
         let times = ShutdownTimes::within(grace);
