--- a/src/data_plane/worker_connection.rs
+++ b/src/data_plane/worker_connection.rs
@@ -1,7 +1,7 @@
-//! One HTTP/1.1 connection to a worker.
+//! HTTP/1.1 connection to a worker.
 
 use super::connector::WorkerStream;
-use super::watched_stream::{WatchedStream, Written};
+use super::flush_tracking::{FlushState, FlushTrackingStream};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -11,64 +11,64 @@
 use std::rc::Rc;
 use tokio::task::JoinHandle;
 
-/// Why a request got no answer on a connection.
+/// Why a request got no response on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum SendFailure {
+pub(crate) enum SendError {
     /// The connection was closed before any byte of the request was written.
     NotSent,
-    /// The connection failed, or what came is no answer: the request may have run.
+    /// The connection failed, or the data received is no valid response: the request may have run.
     Broken,
 }
 
-/// A connection with the task that drives it. Dropping it closes the socket at once.
+/// A connection and the task that drives it. Dropping it closes the socket immediately.
 #[derive(Debug)]
 pub(crate) struct WorkerConnection {
     sender: SendRequest<Full<Bytes>>,
-    written: Rc<Written>,
+    flush_state: Rc<FlushState>,
     driver: JoinHandle<()>,
 }
 
 impl WorkerConnection {
-    /// Speaks HTTP over a stream that has come up.
-    pub(crate) async fn over(stream: Box<dyn WorkerStream>) -> hyper::Result<WorkerConnection> {
-        let written = Rc::new(Written::default());
-        let stream = TokioIo::new(WatchedStream::new(stream, written.clone()));
+    /// Sets up HTTP/1.1 on a connected stream.
+    pub(crate) async fn handshake(stream: Box<dyn WorkerStream>) -> hyper::Result<WorkerConnection> {
+        let flush_state = Rc::new(FlushState::default());
+        let stream = TokioIo::new(FlushTrackingStream::new(stream, flush_state.clone()));
         let (sender, connection) = http1::Builder::new().handshake(stream).await?;
         let driver = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!("connection to a worker: {error}");
+                log::debug!("worker connection failed: {error}");
             }
         });
-        Ok(WorkerConnection { sender, written, driver })
+        Ok(WorkerConnection { sender, flush_state, driver })
     }
 
-    /// Whether the next request can be sent at once.
+    /// Whether the next request can be sent immediately.
     pub(crate) fn is_ready(&self) -> bool {
-        self.sender.is_ready() && !self.sender.is_closed() && self.written.is_all()
+        self.sender.is_ready() && !self.sender.is_closed() && self.flush_state.is_flushed()
     }
 
-    /// Whether no request can be sent any more.
+    /// Whether the connection is closed, so that no further request can be sent.
     pub(crate) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until the connection has finished its last exchange, the request's body included; fails if it closes
-    /// instead.
-    pub(crate) async fn ready(&mut self) -> Result<(), SendFailure> {
-        self.sender.ready().await.map_err(|_| SendFailure::NotSent)?;
-        self.written.all().await;
-        self.sender.ready().await.map_err(|_| SendFailure::NotSent)
+    /// Waits until the previous exchange is complete and its request body has been written. Fails if the
+    /// connection closes before that.
+    pub(crate) async fn ready(&mut self) -> Result<(), SendError> {
+        self.sender.ready().await.map_err(|_| SendError::NotSent)?;
+        self.flush_state.flushed().await;
+        self.sender.ready().await.map_err(|_| SendError::NotSent)
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, SendFailure> {
-        let sent = self.sender.try_send_request(request).await;
-        sent.map_err(|mut failure| match failure.take_message() {
-            Some(_) => SendFailure::NotSent,
-            None => SendFailure::Broken,
+    ) -> Result<Response<Incoming>, SendError> {
+        let result = self.sender.try_send_request(request).await;
+        result.map_err(|mut error| match error.take_message() {
+            Some(_) => SendError::NotSent,
+            None => SendError::Broken,
         })
     }
 }
