--- a/crates/control/src/electorate.rs
+++ b/crates/control/src/electorate.rs
@@ -70,7 +70,7 @@
     /// A node that reaches no quorum can't tell, and waits: the others may be about to come back and need its copy.
     pub fn may_leave(&self, now: u64) -> bool {
         let Some(electorate) = self.replica.electorate() else { return true };
-        let me = ReplicaId(self.settings.replica);
+        let me = ReplicaId(self.settings.replica_id);
         if !electorate.contains(me) {
             return true;
         }
@@ -105,7 +105,7 @@
     /// node does not reach both ways, that reach no quorum, that have no ballot to propose with or that leave are passed
     /// over.
     fn acts_for_electorate(&self, now: u64, electorate: &Electorate) -> bool {
-        let me = self.settings.replica;
+        let me = self.settings.replica_id;
         let able = |id: u64| {
             let told = self.contacts.get(id).map(|contact| &contact.told);
             self.contacts.is_in_contact(now, id) && told.is_some_and(|told| told.in_quorum && !told.leaving)
@@ -152,7 +152,7 @@
     }
 
     fn zone_of(&self, id: ReplicaId) -> String {
-        if id.0 == self.settings.replica {
+        if id.0 == self.settings.replica_id {
             return self.settings.zone.clone();
         }
         self.contacts.get(id.0).map_or_else(String::new, |contact| contact.told.zone.clone())
@@ -175,7 +175,7 @@
     }
 
     fn standing(&self, now: u64, member: &Member, patience: u64) -> Standing {
-        let leaving = match member.id.0 == self.settings.replica {
+        let leaving = match member.id.0 == self.settings.replica_id {
             true => self.leaving,
             false => self.contacts.get(member.id.0).is_some_and(|contact| contact.told.leaving),
         };
@@ -192,7 +192,7 @@
     }
 
     fn silent_for(&self, now: u64, member: &Member) -> u64 {
-        match member.id.0 == self.settings.replica {
+        match member.id.0 == self.settings.replica_id {
             true => 0,
             // Never heard in this life: silent since the start.
             false => self.contacts.silent_for(now, member.id.0).unwrap_or(now - self.started_at),
@@ -201,7 +201,7 @@
 
     /// How long it is not certain that a member hears this node: a link that works one way keeps no vote.
     fn unconfirmed_for(&self, now: u64, member: &Member) -> u64 {
-        if member.id.0 == self.settings.replica {
+        if member.id.0 == self.settings.replica_id {
             return 0;
         }
         let confirmed_at = self.contacts.get(member.id.0).and_then(|contact| contact.confirmed_at);
@@ -211,7 +211,7 @@
     /// Whether another replica lives at a member's address: the disk of that member is lost.
     fn is_replaced(&self, member: &Member) -> bool {
         let other = |id: u64, address: &str| id != member.id.0 && address == member.address;
-        other(self.settings.replica, &self.settings.address)
+        other(self.settings.replica_id, &self.settings.address)
             || self.contacts.iter().any(|(id, contact)| other(id, &contact.address))
     }
 }
--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -9,9 +9,9 @@
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
     /// Identity of the replica, kept on its disk.
-    pub replica: u64,
+    pub replica_id: u64,
     /// Random number of this life of the process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Name of the machine.
     pub node_name: String,
     /// Address on which other core nodes and agents reach this one.
@@ -93,7 +93,7 @@
     /// A message of a subscriber.
     Subscriber(SubscriberId, Upstream),
     /// A subscriber's connection ended.
-    SubscriberGone(SubscriberId),
+    SubscriberDisconnected(SubscriberId),
     /// A call came in.
     Call(CallId, Call),
     /// All records up to this token are on the disk.
@@ -101,7 +101,7 @@
     /// The disk refused the record of this token.
     PersistFailed(u64),
     /// The file of records has grown long.
-    LogIsLong,
+    LogCompactionDue,
     /// The process is to end: the node asks to be dropped from the electorate (see
     /// [`ControlNode::may_leave`](crate::ControlNode::may_leave)).
     Leave,
@@ -193,9 +193,9 @@
     /// Append a record, sync it and say so.
     Persist(u64, Vec<u8>),
     /// Replace all records by these.
-    Rewrite(Vec<Vec<u8>>),
+    RewriteLog(Vec<Vec<u8>>),
     /// Send an order to a worker.
     Order(OrderCall),
     /// Ask a worker for its report.
-    AskReport(ReportCall),
+    RequestReport(ReportCall),
 }
--- a/crates/control/src/lone_node_tests.rs
+++ b/crates/control/src/lone_node_tests.rs
@@ -15,8 +15,8 @@
 /// A core of one machine, before its first tick. All machines of these tests bear one name.
 pub(crate) fn lone_node(address: &str) -> ControlNode {
     let settings = NodeSettings {
-        replica: 1,
-        life: 1,
+        replica_id: 1,
+        incarnation: 1,
         node_name: "core".to_owned(),
         address: address.to_owned(),
         seeds: vec![address.to_owned()],
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -58,7 +58,7 @@
         records: Vec<Vec<u8>>,
         genesis: Option<Vec<Member>>,
     ) -> ControlNode {
-        let id = ReplicaId(settings.replica);
+        let id = ReplicaId(settings.replica_id);
         let records: Vec<Record> = records.iter().filter_map(|record| Record::decode(record).ok()).collect();
         let replica = match genesis {
             Some(seeds) if records.is_empty() => Replica::genesis(id, seeds, settings.seed),
@@ -67,14 +67,14 @@
         };
         let suspect_after = settings.worker_heartbeat_ms * SUSPECT_AFTER_TENTHS / 10;
         ControlNode {
-            contacts: Contacts::new(settings.replica, settings.life, ContactSettings::default()),
+            contacts: Contacts::new(settings.replica_id, settings.incarnation, ContactSettings::default()),
             replica,
             control: ControlState::default(),
             state: MergedState::new(SuspectAfter(suspect_after)),
             jobs: Jobs::default(),
             subscribers: Subscribers::default(),
             announcements: Announcements::default(),
-            updates: PendingUpdates::new(settings.life),
+            updates: PendingUpdates::new(settings.incarnation),
             unreachable_workers: UnreachableWorkers::default(),
             load: FleetLoad::default(),
             placer: Placer::new(&settings),
@@ -95,7 +95,7 @@
             Input::Tick => self.tick(now),
             Input::Peer(frame) => self.peer_frame(now, frame),
             Input::Subscriber(id, message) => self.subscriber_message(now, id, message),
-            Input::SubscriberGone(id) => self.subscribers.gone(id),
+            Input::SubscriberDisconnected(id) => self.subscribers.gone(id),
             Input::Call(id, call) => self.call(now, id, call),
             Input::Persisted(token) => {
                 self.register_input(now, switchhill_register::Input::Persisted { token })
@@ -103,7 +103,7 @@
             Input::PersistFailed(token) => {
                 self.register_input(now, switchhill_register::Input::PersistFailed { token })
             }
-            Input::LogIsLong => self.rewrite_log(),
+            Input::LogCompactionDue => self.rewrite_log(),
             Input::Leave => self.leave(now),
             Input::OrderAnswered(ticket, answer) => self.order_answered(now, &ticket, answer),
             Input::Reported(report) => self.reported(now, report),
@@ -173,7 +173,7 @@
 
     fn rewrite_log(&mut self) {
         let records = self.replica.records().iter().map(|record| record.encode().to_vec()).collect();
-        self.out.push(Output::Rewrite(records));
+        self.out.push(Output::RewriteLog(records));
     }
 
     fn call(&mut self, now: u64, id: CallId, call: Call) {
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -20,7 +20,7 @@
             return;
         }
         let frame = PeerFrame {
-            from: self.settings.replica,
+            from: self.settings.replica_id,
             address: self.settings.address.clone(),
             body: Some(body),
         };
@@ -106,7 +106,7 @@
     /// Takes in a message of another core node.
     pub(crate) fn peer_frame(&mut self, now: u64, frame: PeerFrame) {
         let PeerFrame { from, address, body } = frame;
-        if from == self.settings.replica {
+        if from == self.settings.replica_id {
             return;
         }
         match body {
@@ -125,7 +125,7 @@
     }
 
     fn peer_heartbeat(&mut self, now: u64, from: u64, address: String, heartbeat: PeerHeartbeat) {
-        let mine = |echo: &&Echo| echo.from == self.settings.replica && echo.life == self.contacts.life();
+        let mine = |echo: &&Echo| echo.from == self.settings.replica_id && echo.life == self.contacts.life();
         let echo = heartbeat.echoes.iter().find(mine).map(|echo| echo.sequence);
         let heard = Heard {
             id: from,
@@ -172,7 +172,7 @@
     }
 
     fn register_message(&mut self, now: u64, from: u64, envelope: &RegisterEnvelope) {
-        if envelope.to != self.settings.replica {
+        if envelope.to != self.settings.replica_id {
             return;
         }
         match Message::decode(&envelope.message) {
--- a/crates/control/src/placer.rs
+++ b/crates/control/src/placer.rs
@@ -180,7 +180,7 @@
 
     /// The holder itself after a restart; else the first node in contact, once the holder is silent.
     fn may_take_placer(&self, now: u64) -> bool {
-        let first = self.contacts.in_contact(now).min() == Some(self.settings.replica);
+        let first = self.contacts.in_contact(now).min() == Some(self.settings.replica_id);
         match &self.placer.seen {
             Some(grant) if grant.holder == self.settings.holder() => true,
             Some(grant) => {
@@ -358,7 +358,7 @@
             }
             PlannerOutput::RequestReport { worker, address } => {
                 let call = ReportCall { service: service.to_owned(), epoch, worker: worker.0, address };
-                self.out.push(Output::AskReport(call));
+                self.out.push(Output::RequestReport(call));
             }
             PlannerOutput::Resident { worker, models } => self.planner_resident(now, epoch, worker, models),
             PlannerOutput::ReadyEstimate { model, adapter, ready_in_ms } => {
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -113,7 +113,7 @@
         let pending = PendingUpdate {
             call,
             entry,
-            acknowledged: BTreeSet::from([ReplicaId(self.settings.replica)]),
+            acknowledged: BTreeSet::from([ReplicaId(self.settings.replica_id)]),
             deadline: now + ACKNOWLEDGE_WITHIN,
             resend_at: now + RESEND_AFTER,
         };
--- a/crates/control/tests/catch_up/files.rs
+++ b/crates/control/tests/catch_up/files.rs
@@ -184,7 +184,7 @@
     match report {
         Report::Persisted(token) => Some(Input::Persisted(token)),
         Report::Failed(token, _) => Some(Input::PersistFailed(token)),
-        Report::IsLong => Some(Input::LogIsLong),
+        Report::IsLong => Some(Input::LogCompactionDue),
         Report::NotRewritten(_) => None,
     }
 }
--- a/crates/control/tests/catch_up/mod.rs
+++ b/crates/control/tests/catch_up/mod.rs
@@ -418,8 +418,8 @@
             }
             Output::Answer(id, answer) => self.answered(core, id, &answer),
             Output::Persist(token, record) => self.cores[core].disk.add(Work::Append(token, record)),
-            Output::Rewrite(records) => self.cores[core].disk.add(Work::Rewrite(records)),
-            Output::Order(_) | Output::AskReport(_) => {}
+            Output::RewriteLog(records) => self.cores[core].disk.add(Work::Rewrite(records)),
+            Output::Order(_) | Output::RequestReport(_) => {}
         }
     }
 
@@ -746,7 +746,7 @@
         Output::Peers(addresses, frame) => addresses.len() * frame.encoded_len(),
         Output::Subscribers(ids, message) => ids.len() * message.encoded_len(),
         Output::Persist(_, record) => record.len(),
-        Output::Rewrite(records) => records.iter().map(Vec::len).sum(),
+        Output::RewriteLog(records) => records.iter().map(Vec::len).sum(),
         _ => 0,
     }
 }
--- a/crates/control/tests/core/mod.rs
+++ b/crates/control/tests/core/mod.rs
@@ -138,9 +138,9 @@
                     self.records.entry(node).or_default().push(record);
                     self.handle(node, Input::Persisted(token));
                 }
-                Output::Rewrite(records) => drop(self.records.insert(node, records)),
+                Output::RewriteLog(records) => drop(self.records.insert(node, records)),
                 Output::Order(order) => self.orders.push(order),
-                Output::AskReport(call) => self.asked.push(call),
+                Output::RequestReport(call) => self.asked.push(call),
                 Output::Subscribers(..) | Output::CloseSubscriber(_) => {}
             }
         }
--- a/crates/control/tests/node_settings/mod.rs
+++ b/crates/control/tests/node_settings/mod.rs
@@ -6,8 +6,8 @@
 /// otherwise.
 pub fn node_settings(replica: u64, life: u64, address: String, seeds: Vec<String>) -> NodeSettings {
     NodeSettings {
-        replica,
-        life,
+        replica_id: replica,
+        incarnation: life,
         node_name: address.clone(),
         address,
         seeds,
--- a/crates/control/tests/simulation/edge_machine.rs
+++ b/crates/control/tests/simulation/edge_machine.rs
@@ -200,7 +200,7 @@
         if let Some(process) = &mut self.cores[connection.core].process {
             process.connections.remove(&connection.subscriber);
         }
-        let gone = Input::SubscriberGone(connection.subscriber);
+        let gone = Input::SubscriberDisconnected(connection.subscriber);
         self.life_input(connection.core, connection.core_life, gone);
     }
 }
--- a/crates/control/tests/simulation/flaws.rs
+++ b/crates/control/tests/simulation/flaws.rs
@@ -46,8 +46,8 @@
     disk: Vec<Vec<u8>>,
     genesis: Option<Vec<Member>>,
 ) -> Box<dyn CoreNode> {
-    let replica = settings.replica;
-    let life = settings.life;
+    let replica = settings.replica_id;
+    let life = settings.incarnation;
     let accepted = disk.iter().filter_map(|record| accepted(record)).next_back();
     let node = ControlNode::new(now, settings, disk, genesis);
     let Some(flaw) = flaw else { return Box::new(node) };
--- a/crates/control/tests/simulation/mod.rs
+++ b/crates/control/tests/simulation/mod.rs
@@ -372,9 +372,9 @@
                 Output::CloseSubscriber(id) => self.close_subscriber(core, id),
                 Output::Answer(id, answer) => self.answered(core, id, answer),
                 Output::Persist(token, record) => self.persist(core, token, record),
-                Output::Rewrite(records) => self.cores[core].disk = records,
+                Output::RewriteLog(records) => self.cores[core].disk = records,
                 Output::Order(call) => self.worker_ordered(core, call),
-                Output::AskReport(call) => self.report_asked(core, call),
+                Output::RequestReport(call) => self.report_asked(core, call),
             }
         }
     }
--- a/lab/src/emulator/disk.rs
+++ b/lab/src/emulator/disk.rs
@@ -157,7 +157,7 @@
         }
         if log.wants_rewrite() && !self.asked_rewrite {
             self.asked_rewrite = true;
-            told.push(Input::LogIsLong);
+            told.push(Input::LogCompactionDue);
         }
         told
     }
--- a/lab/src/emulator/world/core_machine.rs
+++ b/lab/src/emulator/world/core_machine.rs
@@ -117,8 +117,8 @@
         let genesis = (identity.genesis && records.is_empty()).then(|| genesis_members(&seeds));
         let life_number = self.random.u64(..) & !1;
         let settings = NodeSettings {
-            replica: identity.replica,
-            life: life_number,
+            replica_id: identity.replica,
+            incarnation: life_number,
             node_name: Host::Core(core).to_string(),
             address,
             seeds,
@@ -197,7 +197,7 @@
         let subscribers: Vec<SubscriberId> = connections.subscribers.keys().copied().collect();
         self.reset_connections(core, life, connections);
         for id in subscribers {
-            self.core_input(core, Input::SubscriberGone(id));
+            self.core_input(core, Input::SubscriberDisconnected(id));
         }
     }
 
--- a/lab/src/emulator/world/core_process.rs
+++ b/lab/src/emulator/world/core_process.rs
@@ -136,9 +136,9 @@
                 self.record_written(core, token, &record);
                 self.cores[core].disk.append(token, record);
             }
-            Output::Rewrite(records) => self.cores[core].disk.rewrite(records),
+            Output::RewriteLog(records) => self.cores[core].disk.rewrite(records),
             Output::Order(call) => self.send_order(core, call),
-            Output::AskReport(call) => self.ask_report(core, call),
+            Output::RequestReport(call) => self.ask_report(core, call),
         }
     }
 
@@ -327,7 +327,7 @@
     fn subscriber_closed(&mut self, core: usize, id: SubscriberId) {
         let Some(process) = self.cores[core].process.as_mut() else { return };
         if process.connections.subscribers.remove(&id).is_some() {
-            self.core_input(core, Input::SubscriberGone(id));
+            self.core_input(core, Input::SubscriberDisconnected(id));
         }
     }
 
--- a/lab/src/hollow/core_nodes.rs
+++ b/lab/src/hollow/core_nodes.rs
@@ -38,8 +38,8 @@
     let members =
         members.map(|(core, address)| Member { id: ReplicaId(replica(core)), address: address.clone() });
     let settings = NodeSettings {
-        replica: replica(core),
-        life: replica(core),
+        replica_id: replica(core),
+        incarnation: replica(core),
         node_name: format!("core-{core}"),
         address: core_address(core),
         seeds: seeds.clone(),
@@ -107,7 +107,7 @@
                 let input = Box::new(Input::OrderAnswered(call.ticket, answer));
                 self.add(self.now + ANSWER_MS, Event::CoreInput { core, input, kind: "order answered" });
             }
-            Output::AskReport(call) => {
+            Output::RequestReport(call) => {
                 let Some(worker) = self.worker_numbers.get(&call.worker) else { return };
                 let report = self.workers[*worker].report(self.now, call);
                 let input = Box::new(Input::Reported(report));
@@ -117,7 +117,7 @@
                 self.drain.acknowledged_ms.get_or_insert(arrives - DRAIN_MS);
             }
             Output::Answer(id, answer) if id.0 >= OPERATOR_CALL => self.change_answered(&answer),
-            Output::Answer(..) | Output::Rewrite(_) | Output::CloseSubscriber(_) => {}
+            Output::Answer(..) | Output::RewriteLog(_) | Output::CloseSubscriber(_) => {}
         }
     }
 
--- a/lab/src/hollow/gatekeepers.rs
+++ b/lab/src/hollow/gatekeepers.rs
@@ -86,7 +86,7 @@
             }
             RelayOutput::Close(link) => {
                 if let Some(core) = self.edges[edge].links.remove(&link) {
-                    let input = Box::new(Input::SubscriberGone(subscriber(edge, link)));
+                    let input = Box::new(Input::SubscriberDisconnected(subscriber(edge, link)));
                     self.add(arrives, Event::CoreInput { core, input, kind: "subscriber gone" });
                 }
             }
--- a/src/control_plane/disk.rs
+++ b/src/control_plane/disk.rs
@@ -100,7 +100,7 @@
             log::warn!("the replica's file: {error}");
             Input::PersistFailed(token)
         }
-        Report::IsLong => Input::LogIsLong,
+        Report::IsLong => Input::LogCompactionDue,
         Report::NotRewritten(error) => {
             log::warn!("the replica's file could not be rewritten: {error}");
             std::thread::sleep(RETRY_PAUSE);
--- a/src/control_plane/links.rs
+++ b/src/control_plane/links.rs
@@ -194,5 +194,5 @@
     let ended = connection::exchange(stream, waiting, received).await;
     log::debug!("subscriber's connection ended: {ended}");
     subscribers.close(&id);
-    let _ = inputs.send(Input::SubscriberGone(id));
+    let _ = inputs.send(Input::SubscriberDisconnected(id));
 }
--- a/src/control_plane/links/unread_subscriber_tests.rs
+++ b/src/control_plane/links/unread_subscriber_tests.rs
@@ -94,7 +94,7 @@
             links.send_subscribers(&[id], &configuration(revision, &kept));
             tokio::time::sleep(EVERY).await;
             result.most_kept = result.most_kept.max(kept.load(Ordering::Relaxed));
-            if matches!(received.try_recv(), Ok(Input::SubscriberGone(gone)) if gone == id) {
+            if matches!(received.try_recv(), Ok(Input::SubscriberDisconnected(gone)) if gone == id) {
                 result.sent_until_gone = Some(revision);
                 break;
             }
--- a/src/control_plane/mod.rs
+++ b/src/control_plane/mod.rs
@@ -132,9 +132,9 @@
             Output::CloseSubscriber(id) => self.links.close_subscriber(id),
             Output::Answer(id, answer) => self.calls.answer(id, answer),
             Output::Persist(token, record) => self.disk.append(token, record),
-            Output::Rewrite(records) => self.disk.rewrite(records),
+            Output::RewriteLog(records) => self.disk.rewrite(records),
             Output::Order(call) => self.workers.order(call),
-            Output::AskReport(call) => self.workers.ask_report(call),
+            Output::RequestReport(call) => self.workers.ask_report(call),
         }
     }
 }
@@ -148,8 +148,8 @@
 fn node_settings(settings: &SiteSettings, replica: u64, internal: SocketAddr) -> NodeSettings {
     let life = disk::random_number(&internal.to_string());
     NodeSettings {
-        replica,
-        life,
+        replica_id: replica,
+        incarnation: life,
         node_name: settings.node_name.clone(),
         address: internal.to_string(),
         seeds: crate::system::internal_addresses(settings),
