--- a/crates/control/src/electorate.rs
+++ b/crates/control/src/electorate.rs
@@ -1,39 +1,39 @@
-//! Who votes: replicas that have joined are added, replaced, leaving and lost ones are dropped.
+//! Automatic changes of the electorate: joined replicas are added; replaced, leaving and lost members are removed.
 //!
-//! This part collects what is known of each replica and decides who drives a change; [`choice`] decides which of them
-//! are to vote.
+//! This module collects the status of each replica and decides which node drives a change. [`choice`] selects the
+//! members.
 
 mod choice;
 
 use crate::jobs::Job;
 use crate::node::ControlNode;
-use choice::{choose, Candidate, Standing, Tolerance};
+use choice::{select_members, Candidate, FaultTolerance, ReplicaStatus};
 use std::collections::BTreeSet;
 use switchhill_membership::Contact;
 use switchhill_register::{Accepted, Ballot, Electorate, Member, ReplicaId};
 
-/// Silence in milliseconds after which a member may be dropped. A machine that was taken away has to be dropped well
-/// before its successor has run for 4 s: from then on another one may be lost.
-const DROP_AFTER: u64 = 2_500;
+/// Silence in milliseconds after which a member may be removed. A lost machine has to be removed well before its
+/// replacement has run for 4 s, because from then on another machine may be lost.
+const REMOVE_TIMEOUT_MS: u64 = 2_500;
 
-/// Silence in milliseconds after which a member gives way to a replica that joins: the newcomer takes its place in one
-/// change, so that no electorate with a lost member in surplus lies between.
-const GIVE_WAY_AFTER: u64 = 800;
+/// Silence in milliseconds after which a joining replica may replace a member. Both happen in one change, so there is no
+/// intermediate electorate that contains the lost member in addition.
+const REPLACE_TIMEOUT_MS: u64 = 800;
 
-/// Time in milliseconds for which a replica is new, and may as soon be lost as not: `catchUpS` of the deployments.
-const NEW_FOR: u64 = 4_000;
+/// Time in milliseconds for which a replica counts as new and may well be lost again: `catchUpS` of the deployments.
+const NEW_REPLICA_PERIOD_MS: u64 = 4_000;
 
-/// Silence in milliseconds of a replica that may be added.
-const ADD_WITHIN: u64 = 600;
+/// Maximum silence in milliseconds of a replica that may be added.
+const MAX_JOINER_SILENCE_MS: u64 = 600;
 
 impl ControlNode {
-    /// Proposes a better electorate, if this node is the first member that can and there is one.
+    /// Queues a change to a better electorate, if there is one and this node is the member that drives changes.
     pub(crate) fn tick_electorate(&mut self, now: u64) {
         let pending = self.jobs.has(|job| matches!(job, Job::Electorate));
         if pending || !self.caught_up {
             return;
         }
-        // A value that may not be chosen yet is completed first.
+        // A value that may not have been chosen yet is completed first.
         let newest = self.replica.committed().map_or(Ballot::NONE, |committed| committed.ballot);
         if self.replica.accepted_ballot() > newest {
             return;
@@ -44,30 +44,30 @@
         }
     }
 
-    /// The members to put in place of those of a value, or of the first electorate while the register is empty, if this
-    /// node is to change them. Decided anew once a change is prepared: another node may have changed the electorate
-    /// meanwhile.
+    /// The members that are to replace those of a value (or of the initial electorate while the register is empty), if
+    /// this node is the one to change them. Evaluated again once a change is prepared, because another node may have
+    /// changed the electorate in the meantime.
     pub(crate) fn members_to_write(&self, now: u64, current: Option<&Accepted>) -> Option<Vec<Member>> {
         let electorate = current.map(|current| &current.value.electorate).or(self.replica.electorate())?;
-        if !self.acts_for_electorate(now, electorate) {
+        if !self.drives_electorate_changes(now, electorate) {
             return None;
         }
         let members = self.desired_members(now, electorate)?;
-        let mut present = electorate.members.clone();
-        present.sort_by_key(|member| member.id);
-        (members != present).then_some(members)
+        let mut current = electorate.members.clone();
+        current.sort_by_key(|member| member.id);
+        (members != current).then_some(members)
     }
 
-    /// The process is to end: the other nodes are told at once.
-    pub(crate) fn leave(&mut self, now: u64) {
+    /// Starts leaving the electorate and informs the other nodes immediately.
+    pub(crate) fn start_leaving(&mut self, now: u64) {
         self.leaving = true;
         self.send_heartbeat(now);
     }
 
-    /// Whether the process may end after [`Input::Leave`](crate::Input::Leave): the electorate goes on without this node,
-    /// so a majority of the others durably holds the newest value. It may also end where it goes as one of the losses to
-    /// be borne, with all other members in contact and nobody to take its place, and where all others are told to end too.
-    /// A node that reaches no quorum can't tell, and waits: the others may be about to come back and need its copy.
+    /// Whether the process may exit after [`Input::Leave`](crate::Input::Leave). It may once the electorate no longer
+    /// contains this node, which means that a majority of the others durably holds the newest value. It may also exit as
+    /// one of the tolerated losses, if all other members are in contact and no replica can take its place, and if all
+    /// others are leaving too. A node without a quorum waits: the others may be about to return and need its copy.
     pub fn may_leave(&self, now: u64) -> bool {
         let Some(electorate) = self.replica.electorate() else { return true };
         let me = ReplicaId(self.settings.replica_id);
@@ -75,36 +75,35 @@
             return true;
         }
         let others = || electorate.members.iter().map(|member| member.id).filter(|id| *id != me);
-        let told_to_end = |id: ReplicaId| self.contacts.get(id.0).is_some_and(|contact| contact.told.leaving);
-        if others().all(told_to_end) {
+        let is_leaving = |id: ReplicaId| self.contacts.get(id.0).is_some_and(|contact| contact.told.leaving);
+        if others().all(is_leaving) {
             return true;
         }
-        let is_calm = !electorate.is_joint()
+        let is_stable = !electorate.is_joint()
             && self.has_quorum(now)
-            && others().all(|id| self.contacts.is_in_contact(now, id.0) && !told_to_end(id))
-            && !self.has_successor(now, electorate);
-        let wanted = || self.desired_members(now, electorate);
-        is_calm && wanted().is_none_or(|members| members.iter().any(|member| member.id == me))
+            && others().all(|id| self.contacts.is_in_contact(now, id.0) && !is_leaving(id))
+            && !self.has_possible_replacement(now, electorate);
+        let desired = || self.desired_members(now, electorate);
+        is_stable && desired().is_none_or(|members| members.iter().any(|member| member.id == me))
     }
 
-    /// Whether a replica without a vote was heard that may take the place of a member, though not yet, if it has just
-    /// restarted.
-    fn has_successor(&self, now: u64, electorate: &Electorate) -> bool {
+    /// Whether a non-voting replica was heard recently that can take the place of a member. It may have restarted just now
+    /// and not be eligible yet.
+    fn has_possible_replacement(&self, now: u64, electorate: &Electorate) -> bool {
         self.contacts.iter().any(|(id, contact)| {
             let votes = electorate.members.iter().any(|member| member.id.0 == id);
-            !votes && !contact.told.leaving && now < contact.heard_at + DROP_AFTER
+            !votes && !contact.told.leaving && now < contact.heard_at + REMOVE_TIMEOUT_MS
         })
     }
 
-    /// The newest electorate that this node knows to be chosen, with the ballot of its value.
+    /// The newest electorate known to be chosen, with the ballot of its value.
     pub fn committed_electorate(&self) -> Option<(Ballot, &Electorate)> {
         self.replica.committed().map(|accepted| (accepted.ballot, &accepted.value.electorate))
     }
 
-    /// Whether this node is the first member, in the order of ids, that can change the electorate. Members that this
-    /// node does not reach both ways, that reach no quorum, that have no ballot to propose with or that leave are passed
-    /// over.
-    fn acts_for_electorate(&self, now: u64, electorate: &Electorate) -> bool {
+    /// Whether this node is the member with the lowest id that can change the electorate. Members are skipped if they are
+    /// not in contact with this node in both directions, have no quorum, have no ballot to propose with, or are leaving.
+    fn drives_electorate_changes(&self, now: u64, electorate: &Electorate) -> bool {
         let me = self.settings.replica_id;
         let able = |id: u64| {
             let told = self.contacts.get(id).map(|contact| &contact.told);
@@ -118,37 +117,39 @@
 
     fn desired_members(&self, now: u64, electorate: &Electorate) -> Option<Vec<Member>> {
         let joiners = self.joiners(now, electorate);
-        let patience = if joiners.is_empty() { DROP_AFTER } else { GIVE_WAY_AFTER };
-        let present = electorate.members.iter().map(|member| Candidate {
+        let timeout_ms = if joiners.is_empty() { REMOVE_TIMEOUT_MS } else { REPLACE_TIMEOUT_MS };
+        let members = electorate.members.iter().map(|member| Candidate {
             member: member.clone(),
             zone: self.zone_of(member.id),
-            standing: self.standing(now, member, patience),
+            status: self.status_of_member(now, member, timeout_ms),
         });
-        let candidates = present.chain(joiners).collect();
-        let tolerance = Tolerance { machines: self.settings.machines_lost, zones: self.settings.zones_lost };
-        choose(candidates, tolerance)
+        let candidates = members.chain(joiners).collect();
+        let tolerance =
+            FaultTolerance { machines: self.settings.machines_lost, zones: self.settings.zones_lost };
+        select_members(candidates, tolerance)
     }
 
-    /// Replicas without a vote that are in contact and stay.
+    /// Non-voting replicas that are in contact and not leaving.
     fn joiners(&self, now: u64, electorate: &Electorate) -> Vec<Candidate> {
         let joins = |id: u64, leaving: bool| {
             let known = electorate.members.iter().any(|member| member.id.0 == id);
-            let heard = self.contacts.silent_for(now, id).is_some_and(|silent| silent < ADD_WITHIN);
+            let heard =
+                self.contacts.silent_for(now, id).is_some_and(|silent| silent < MAX_JOINER_SILENCE_MS);
             !known && heard && self.contacts.is_in_contact(now, id) && !leaving
         };
         let contacts = self.contacts.iter().filter(|(id, contact)| joins(*id, contact.told.leaving));
         let candidate = |id: u64, contact: &Contact| Candidate {
             member: Member { id: ReplicaId(id), address: contact.address.clone() },
             zone: contact.told.zone.clone(),
-            standing: Standing::Joining { is_new: self.is_new(now, contact) },
+            status: ReplicaStatus::Joining { is_new: self.is_new(now, contact) },
         };
         contacts.map(|(id, contact)| candidate(id, contact)).collect()
     }
 
-    /// Whether a node has only just appeared. A node that has itself just started can't tell, and at the start of the whole
-    /// system all are new.
+    /// Whether a node has appeared only recently. A node that has itself just started cannot tell, and when the whole system
+    /// starts, every node would count as new; in both cases the result is `false`.
     fn is_new(&self, now: u64, contact: &Contact) -> bool {
-        now >= self.started_at + NEW_FOR && now < contact.heard_since + NEW_FOR
+        now >= self.started_at + NEW_REPLICA_PERIOD_MS && now < contact.heard_since + NEW_REPLICA_PERIOD_MS
     }
 
     fn zone_of(&self, id: ReplicaId) -> String {
@@ -158,7 +159,7 @@
         self.contacts.get(id.0).map_or_else(String::new, |contact| contact.told.zone.clone())
     }
 
-    /// Zones of the core nodes at these addresses, if the loss of a zone is to be borne.
+    /// Zones of the core nodes at these addresses, if the loss of a zone is to be tolerated.
     pub(crate) fn zones_of(&self, addresses: &BTreeSet<String>) -> Vec<String> {
         if self.settings.zones_lost == 0 {
             return Vec::new();
@@ -174,32 +175,33 @@
         addresses.iter().map(zone_at).collect()
     }
 
-    fn standing(&self, now: u64, member: &Member, patience: u64) -> Standing {
+    fn status_of_member(&self, now: u64, member: &Member, timeout_ms: u64) -> ReplicaStatus {
         let leaving = match member.id.0 == self.settings.replica_id {
             true => self.leaving,
             false => self.contacts.get(member.id.0).is_some_and(|contact| contact.told.leaving),
         };
         let silent_ms = self.silent_for(now, member);
         if self.is_replaced(member) {
-            Standing::Replaced
+            ReplicaStatus::Replaced
         } else if leaving {
-            Standing::Leaving
-        } else if silent_ms >= patience || self.unconfirmed_for(now, member) >= DROP_AFTER {
-            Standing::Lost { silent_ms }
+            ReplicaStatus::Leaving
+        } else if silent_ms >= timeout_ms || self.unconfirmed_for(now, member) >= REMOVE_TIMEOUT_MS {
+            ReplicaStatus::Lost { silent_ms }
         } else {
-            Standing::Live
+            ReplicaStatus::Live
         }
     }
 
     fn silent_for(&self, now: u64, member: &Member) -> u64 {
         match member.id.0 == self.settings.replica_id {
             true => 0,
-            // Never heard in this life: silent since the start.
+            // Never heard since this process started.
             false => self.contacts.silent_for(now, member.id.0).unwrap_or(now - self.started_at),
         }
     }
 
-    /// How long it is not certain that a member hears this node: a link that works one way keeps no vote.
+    /// Time since a member last confirmed that it receives this node's messages. A member with a one-way link thus loses its
+    /// vote.
     fn unconfirmed_for(&self, now: u64, member: &Member) -> u64 {
         if member.id.0 == self.settings.replica_id {
             return 0;
@@ -208,7 +210,7 @@
         now.saturating_sub(confirmed_at.unwrap_or(self.started_at))
     }
 
-    /// Whether another replica lives at a member's address: the disk of that member is lost.
+    /// Whether another replica runs at a member's address, which means that the member's disk is lost.
     fn is_replaced(&self, member: &Member) -> bool {
         let other = |id: u64, address: &str| id != member.id.0 && address == member.address;
         other(self.settings.replica_id, &self.settings.address)
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -104,7 +104,7 @@
                 self.register_input(now, switchhill_register::Input::PersistFailed { token })
             }
             Input::LogCompactionDue => self.rewrite_log(),
-            Input::Leave => self.leave(now),
+            Input::Leave => self.start_leaving(now),
             Input::OrderAnswered(ticket, answer) => self.order_answered(now, &ticket, answer),
             Input::Reported(report) => self.reported(now, report),
         }
