--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -1,4 +1,4 @@
-//! What a core node takes in and gives out.
+//! Inputs, outputs and settings of a core node.
 
 use bytes::Bytes;
 use switchhill_configuration::Order;
@@ -8,48 +8,49 @@
 /// Settings of a core node.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// Identity of the replica, kept on its disk.
+    /// Id of the replica, stored on its disk.
     pub replica_id: u64,
-    /// Random number of this life of the process.
+    /// Random number that identifies this run of the process.
     pub incarnation: u64,
     /// Name of the machine.
     pub node_name: String,
     /// Address on which other core nodes and agents reach this one.
     pub address: String,
-    /// Internal addresses of the seeds.
+    /// Internal addresses of the seed nodes.
     pub seeds: Vec<String>,
-    /// Machines that may be lost at once.
+    /// Number of simultaneous machine losses to tolerate.
     pub machines_lost: usize,
-    /// Zone of the machine, or its region where the loss of regions is to be borne.
+    /// Zone of the machine, or its region if the loss of regions is to be tolerated.
     pub zone: String,
-    /// Zones (or regions, if `zone` names them) that may be lost at once.
+    /// Number of simultaneous losses of zones (or regions, if `zone` holds a region) to tolerate.
     pub zones_lost: usize,
-    /// Time in milliseconds between two heartbeats of a worker.
+    /// Heartbeat interval of the workers in milliseconds.
     pub worker_heartbeat_ms: u64,
-    /// Time in milliseconds that must lie between orders of two placers.
+    /// Minimum time in milliseconds between orders of two different placers.
     pub lease_ms: u64,
-    /// Window in milliseconds of the ceiling of loads.
+    /// Window in milliseconds of the upper limit on model loads.
     pub ceiling_window_ms: u64,
     /// Whether workers check fencing tokens.
     pub fencing: bool,
-    /// How models are placed; the time of watching is the node's own.
+    /// Settings of model placement. The node overrides `watch_ms`.
     pub planner: placement::PlannerSettings,
-    /// Seed of the node's random choices.
+    /// Seed of the node's random number generators.
     pub seed: u64,
 }
 
 impl NodeSettings {
-    /// How the placer's role names this machine: by its address. Two machines may bear one name, and are two holders.
+    /// Name of this machine as holder of the placer role. It is the address, because two machines may have the same node
+    /// name and have to be distinct holders.
     pub fn holder(&self) -> &str {
         &self.address
     }
 }
 
-/// A call to the node's HTTP interface that waits for its answer.
+/// Id of a pending call to the node's HTTP interface.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A connection of a subscriber.
+/// Id of a subscriber's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubscriberId(pub u64);
 
@@ -60,95 +61,96 @@
     Heartbeat {
         /// The worker's id.
         id: String,
-        /// The body, JSON.
+        /// JSON body.
         body: Bytes,
     },
-    /// A worker ends.
+    /// A worker deregisters because it terminates.
     Deregister {
         /// The worker's id.
         id: String,
     },
     /// A change of the configuration.
     Change(Order),
-    /// The newest configuration is asked for.
+    /// A read of the newest configuration.
     Read,
 }
 
 /// The answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// Status of HTTP.
+    /// HTTP status code.
     pub status: u16,
-    /// Body, JSON.
+    /// JSON body.
     pub body: Bytes,
 }
 
-/// What happens to a node.
+/// An event that a node handles.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time has passed.
+    /// Periodic timer tick.
     Tick,
-    /// A message of another core node.
+    /// A message from another core node.
     Peer(PeerFrame),
-    /// A message of a subscriber.
+    /// A message from a subscriber.
     Subscriber(SubscriberId, Upstream),
-    /// A subscriber's connection ended.
+    /// A subscriber's connection was closed.
     SubscriberDisconnected(SubscriberId),
-    /// A call came in.
+    /// A call was received.
     Call(CallId, Call),
-    /// All records up to this token are on the disk.
+    /// All records up to this token are durable.
     Persisted(u64),
-    /// The disk refused the record of this token.
+    /// Writing the record of this token failed.
     PersistFailed(u64),
-    /// The file of records has grown long.
+    /// The log file has grown beyond its size limit and should be rewritten.
     LogCompactionDue,
-    /// The process is to end: the node asks to be dropped from the electorate (see
+    /// The process is to exit: the node asks to be removed from the electorate (see
     /// [`ControlNode::may_leave`](crate::ControlNode::may_leave)).
     Leave,
-    /// A worker answered an order, or did not.
+    /// A worker answered an order, or no answer arrived.
     OrderAnswered(OrderTicket, placement::OrderAnswer),
-    /// A worker answered with its report.
+    /// A worker returned its report.
     Reported(WorkerReport),
 }
 
-/// Which order of which planner an answer belongs to.
+/// Identifies the planner and the order to which an answer belongs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderTicket {
     /// Service of the planner.
     pub service: String,
-    /// Which planner of this life it was: a service whose engine goes and comes back has another one.
+    /// Number of the planner in this run of the process. A service whose engine is removed and added again gets a new
+    /// planner.
     pub planner: u64,
     /// Epoch of the placer.
     pub epoch: u64,
-    /// The order.
+    /// Id of the order.
     pub order: placement::OrderId,
 }
 
 /// An order to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderCall {
-    /// By which its answer is known.
+    /// Identifies the order when its answer arrives.
     pub ticket: OrderTicket,
     /// The worker's id.
     pub worker: String,
     /// The worker's address.
     pub address: String,
-    /// What it is to do.
+    /// Operation to carry out.
     pub operation: placement::Operation,
     /// The model.
     pub model: String,
-    /// The adapter, for an order about one.
+    /// The adapter, if the operation applies to one.
     pub adapter: Option<String>,
-    /// Orders that the worker must have taken before.
+    /// Number of orders that the worker must have accepted before; it rejects the order otherwise.
     pub if_revision: Option<u64>,
-    /// The machine that is the placer ([`NodeSettings::holder`]).
+    /// Holder of the placer role ([`NodeSettings::holder`]).
     pub holder: String,
 }
 
 /// A request for a worker's report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportCall {
-    /// Service of the planner that wants it.
+    /// Service of the planner that requested it.
     pub service: String,
     /// Epoch of the placer.
     pub epoch: u64,
@@ -161,41 +163,41 @@
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// What it answers.
+    /// The request that it answers.
     pub call: ReportCall,
-    /// Whether the worker carries out an order.
+    /// Whether the worker is executing an order.
     pub busy: bool,
-    /// Orders that it has taken.
+    /// Number of orders that it has accepted.
     pub sequence: u64,
-    /// What it holds.
+    /// Models and adapters that are resident.
     pub models: Vec<placement::Resident>,
-    /// Requests that it runs.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that it queues.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Tokens of its memory in use that can't give way.
+    /// KV cache tokens in use that cannot be evicted.
     pub kv_used: u64,
-    /// Tokens that its memory holds.
+    /// Capacity of the KV cache in tokens.
     pub kv_total: u64,
 }
 
-/// What a node wants done.
+/// An action that a node requests from the surrounding program.
 #[derive(Debug, Clone)]
 pub enum Output {
     /// Send a message to the core nodes at these addresses.
     Peers(Vec<String>, PeerFrame),
     /// Send a message to these subscribers.
     Subscribers(Vec<SubscriberId>, Downstream),
-    /// Drop a subscriber's connection.
+    /// Close a subscriber's connection.
     CloseSubscriber(SubscriberId),
     /// Answer a call.
     Answer(CallId, Answer),
-    /// Append a record, sync it and say so.
+    /// Append a record, make it durable and answer with [`Input::Persisted`] or [`Input::PersistFailed`].
     Persist(u64, Vec<u8>),
-    /// Replace all records by these.
+    /// Replace all records in the log file with these.
     RewriteLog(Vec<Vec<u8>>),
     /// Send an order to a worker.
     Order(OrderCall),
-    /// Ask a worker for its report.
+    /// Request a report from a worker.
     RequestReport(ReportCall),
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,9 @@
-//! A core node as one state machine without I/O.
+//! A control-plane node ("core node") as one state machine without I/O.
 //!
-//! [`ControlNode::handle`] takes an [`Input`] with the time and returns what is to be sent, written and answered. It
-//! composes the crates that decide: the register, the members, the worker table, the subscribers and the placer's
-//! role. The program around it owns sockets, the file and the clock; the emulator owns virtual ones.
+//! [`ControlNode::handle`] takes an [`Input`] with the current time and returns the messages to send, the records to
+//! persist and the calls to answer. It combines the consensus register, the membership, the worker table, the
+//! subscribers and the placer role. The surrounding program owns the sockets, the log file and the clock; the emulator
+//! substitutes virtual ones.
 
 mod announcements;
 mod calls;
