--- a/crates/control/src/announcements.rs
+++ b/crates/control/src/announcements.rs
@@ -1,12 +1,13 @@
-//! Small changes that come by the hundred a second in a large fleet, gathered and told together.
+//! Batching of frequent small changes: residency, model lists and expected load times.
 //!
-//! What a worker holds changes with each order, and each change concerns every gatekeeper over each of its links. Told one by
-//! one, they took most of a core node's processor time at 300 gatekeepers and 256 workers. So changes are told in rounds, and
-//! the time between two rounds grows with the number of subscribers: what is sent in a second is bounded whatever their
-//! number. In a small fleet that is at once. A subscriber whose home is another node hears of it from there;
-//! here it is told later, in case the home was not heard.
+//! The set of resident models of a worker changes with each order, and every change goes to every gatekeeper over each of
+//! its connections. Sent one by one, these changes took most of a core node's CPU time at 300 gatekeepers and 256 workers.
+//! They are therefore sent in rounds, and the interval between rounds grows with the number of subscribers, which bounds
+//! the messages per second for any number of subscribers. In a small fleet changes go out immediately. A subscriber whose
+//! home is another node gets them from that node; this node sends them later as well, in case the home node's message did
+//! not arrive.
 //!
-//! A worker that is new, drains, ends, or is suspected does not come this way: it is told at once, to all.
+//! New, draining, terminated and suspected workers are not batched: all subscribers are informed immediately.
 
 #[cfg(test)]
 mod tests;
@@ -18,13 +19,13 @@
 use switchhill_protocol::{Downstream, DownstreamBody, Expectation, PeerBody, Residency, WorkerUpdate};
 use switchhill_registration::Worker;
 
-/// Subscribers that are told in a millisecond on the mean, of those whose home the node is. The 32 homes of one of nine core
-/// nodes before 291 gatekeepers have a round each tick, of 25 ms.
-const HOMES_A_MS: f64 = 1.3;
-/// The same of the others: the 97 others there have a round each 250 ms.
-const OTHERS_A_MS: f64 = 0.4;
+/// Mean number of home subscribers served per millisecond. With nine core nodes and 291 gatekeepers, a node has 32 home
+/// subscribers and sends a round each tick (25 ms).
+const HOME_SUBSCRIBERS_PER_MS: f64 = 1.3;
+/// The same for the other subscribers: in that fleet a node has 97 of them and sends them a round every 250 ms.
+const OTHER_SUBSCRIBERS_PER_MS: f64 = 0.4;
 
-/// A model or adapter of which something is expected.
+/// Model or adapter whose load is expected to complete.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ExpectedModel {
     service: String,
@@ -32,40 +33,40 @@
     adapter: String,
 }
 
-/// Workers of which something is to be told; what is told is what the node holds then.
+/// Ids of workers with unsent changes. A round sends the state that is current at that time.
 #[derive(Debug, Default)]
 struct ChangedWorkers {
-    /// Whose residency changed, as the placer knows it.
+    /// Workers whose residency changed according to the placer.
     residency: BTreeSet<String>,
-    /// Whose list of models changed, as they say themselves.
+    /// Workers whose own heartbeats reported a changed list of models.
     models: BTreeSet<String>,
 }
 
-/// What is still to be told.
+/// Changes that have not been sent yet.
 #[derive(Debug, Default)]
 pub(crate) struct Announcements {
     for_homes: ChangedWorkers,
     for_others: ChangedWorkers,
     for_peers: BTreeSet<String>,
     expectations: BTreeMap<ExpectedModel, Expectation>,
-    next_for_homes: u64,
-    next_for_others: u64,
+    next_home_round_at: u64,
+    next_other_round_at: u64,
 }
 
 impl Announcements {
     fn is_due_for_homes(&self, now: u64) -> bool {
-        let nothing = self.for_homes.is_empty() && self.for_peers.is_empty() && self.expectations.is_empty();
-        now >= self.next_for_homes && !nothing
+        let is_empty = self.for_homes.is_empty() && self.for_peers.is_empty() && self.expectations.is_empty();
+        now >= self.next_home_round_at && !is_empty
     }
 
     fn is_due_for_others(&self, now: u64) -> bool {
-        now >= self.next_for_others && !self.for_others.is_empty()
+        now >= self.next_other_round_at && !self.for_others.is_empty()
     }
 }
 
-/// Time in milliseconds from a round to so many subscribers until the next.
-fn pause_after(subscribers: usize, subscribers_a_ms: f64) -> u64 {
-    (subscribers as f64 / subscribers_a_ms) as u64
+/// Time in milliseconds until the next round, after one that was sent to this number of subscribers.
+fn round_interval_ms(subscribers: usize, subscribers_per_ms: f64) -> u64 {
+    (subscribers as f64 / subscribers_per_ms) as u64
 }
 
 impl ChangedWorkers {
@@ -75,8 +76,8 @@
 }
 
 impl ControlNode {
-    /// Takes in what a worker holds, as a placer tells; subscribers are told if that is new.
-    pub(crate) fn residency(&mut self, residency: &Residency) {
+    /// Merges a residency update of the placer and queues it for the subscribers if it is newer than the known state.
+    pub(crate) fn apply_residency(&mut self, residency: &Residency) {
         if self.state.merge_residency(residency).is_none() {
             return;
         }
@@ -84,8 +85,8 @@
         self.announcements.for_others.residency.insert(residency.worker.clone());
     }
 
-    /// Home subscribers are told when a missing model will stand.
-    pub(crate) fn expectation(&mut self, expectation: Expectation) {
+    /// Queues for the home subscribers when a missing model is expected to be loaded.
+    pub(crate) fn queue_expectation(&mut self, expectation: Expectation) {
         let key = ExpectedModel {
             service: expectation.service.clone(),
             model: expectation.model.clone(),
@@ -94,65 +95,66 @@
         self.announcements.expectations.insert(key, expectation);
     }
 
-    /// Subscribers are told, and other core nodes where the worker was heard here, that its list of models changed.
-    pub(crate) fn models_changed(&mut self, worker: &str, heard_here: bool) {
+    /// Queues a worker's changed list of models for the subscribers and, if this node received the worker's heartbeat, for
+    /// the other core nodes.
+    pub(crate) fn queue_model_change(&mut self, worker: &str, received_here: bool) {
         self.announcements.for_homes.models.insert(worker.to_owned());
         self.announcements.for_others.models.insert(worker.to_owned());
-        if heard_here {
+        if received_here {
             self.announcements.for_peers.insert(worker.to_owned());
         }
     }
 
-    /// Tells subscribers and other core nodes what is due.
-    pub(crate) fn announce(&mut self, now: u64) {
+    /// Sends the rounds that are due to subscribers and other core nodes.
+    pub(crate) fn send_due_announcements(&mut self, now: u64) {
         if self.announcements.is_due_for_homes(now) {
-            self.announce_to_homes(now);
+            self.send_home_round(now);
         }
         if self.announcements.is_due_for_others(now) {
-            self.announce_to_others(now);
+            self.send_other_round(now);
         }
     }
 
-    /// Tells all that is still to be told. A status holds a digest of the worker table: told before the changes that it
-    /// covers, it would show each subscriber a difference, and while changes go on, one status after the other would,
-    /// until the subscriber asks for the whole table.
-    pub(crate) fn announce_all(&mut self, now: u64) {
-        self.announce_to_homes(now);
-        self.announce_to_others(now);
+    /// Sends all queued changes. This has to precede a status, which holds a digest of the worker table: if the status
+    /// arrived before the changes that the digest covers, every subscriber would see a mismatch, and under continuous
+    /// changes the mismatches would last until the subscriber fetches the whole table.
+    pub(crate) fn flush_announcements(&mut self, now: u64) {
+        self.send_home_round(now);
+        self.send_other_round(now);
     }
 
-    fn announce_to_homes(&mut self, now: u64) {
-        self.announce_to_peers(now);
+    fn send_home_round(&mut self, now: u64) {
+        self.send_model_changes_to_peers(now);
         let changed = std::mem::take(&mut self.announcements.for_homes);
         let expectations = std::mem::take(&mut self.announcements.expectations);
         let mut messages = self.messages(&changed);
         messages.extend(expectations.into_values().map(expectation_message));
         let homes: Vec<SubscriberId> = self.subscribers.homes().map(|(id, _)| id).collect();
-        self.announcements.next_for_homes = now + pause_after(homes.len(), HOMES_A_MS);
+        self.announcements.next_home_round_at = now + round_interval_ms(homes.len(), HOME_SUBSCRIBERS_PER_MS);
         for message in messages {
             self.send_subscribers(homes.clone(), message);
         }
     }
 
-    fn announce_to_others(&mut self, now: u64) {
+    fn send_other_round(&mut self, now: u64) {
         let changed = std::mem::take(&mut self.announcements.for_others);
         let others: Vec<SubscriberId> = self.subscribers.others().collect();
-        self.announcements.next_for_others = now + pause_after(others.len(), OTHERS_A_MS);
+        self.announcements.next_other_round_at =
+            now + round_interval_ms(others.len(), OTHER_SUBSCRIBERS_PER_MS);
         for message in self.messages(&changed) {
             self.send_subscribers(others.clone(), message);
         }
     }
 
-    /// Tells a subscriber that was another until now, and is a home subscriber from now on, what the others have not been
-    /// told yet.
-    pub(crate) fn announce_to_new_home(&mut self, id: SubscriberId) {
+    /// Sends a subscriber that has just become a home subscriber the changes still queued for the other subscribers.
+    pub(crate) fn send_queued_to_new_home(&mut self, id: SubscriberId) {
         for message in self.messages(&self.announcements.for_others) {
             self.send_subscriber(id, message);
         }
     }
 
-    /// Tells the other core nodes of the workers heard here whose lists of models changed.
-    pub(crate) fn announce_to_peers(&mut self, now: u64) {
+    /// Sends the other core nodes the workers whose heartbeats this node received and whose lists of models changed.
+    pub(crate) fn send_model_changes_to_peers(&mut self, now: u64) {
         let workers = std::mem::take(&mut self.announcements.for_peers);
         let entries: Vec<Vec<u8>> =
             workers.iter().filter_map(|id| self.state.workers().get(id)).map(Worker::to_bytes).collect();
--- a/crates/control/src/announcements/tests.rs
+++ b/crates/control/src/announcements/tests.rs
@@ -1,4 +1,4 @@
-//! What a core node tells a large fleet of many small changes, and when.
+//! Tests of which small changes a core node sends in a large fleet, and when.
 
 use crate::input::{Call, CallId, Input, Output, SubscriberId};
 use crate::lone_node_tests::{lone_node, run};
@@ -13,11 +13,11 @@
 
 const ADDRESS: &str = "10.0.0.1:7660";
 
-/// Subscribers of one of nine core nodes before 291 gatekeepers with four links each.
+/// Subscribers of one of nine core nodes in a fleet of 291 gatekeepers with four connections each.
 const HOMES: u64 = 32;
 const OTHERS: u64 = 97;
 const WORKERS: u64 = 25;
-/// Time in milliseconds between two ticks, as in the program.
+/// Tick interval in milliseconds, as in the program.
 const TICK_MS: u64 = 25;
 const STARTED_AT: u64 = 3_000;
 
@@ -56,7 +56,7 @@
     Input::Call(CallId(worker), Call::Heartbeat { id: format!("w{worker}"), body: body.into() })
 }
 
-/// A node that serves and knows the workers, with its subscribers.
+/// A serving node with registered workers and connected subscribers.
 fn node() -> ControlNode {
     let mut node = lone_node(ADDRESS);
     run(&mut node, 0, STARTED_AT);
@@ -69,12 +69,12 @@
     node
 }
 
-/// What each subscriber was sent, in order.
+/// Messages sent to each subscriber, in order.
 #[derive(Default)]
 struct Sent {
     messages: BTreeMap<SubscriberId, Vec<Downstream>>,
-    /// Messages that the node made, each for one subscriber or many.
-    made: usize,
+    /// Number of messages that the node created, each for one or more subscribers.
+    created: usize,
 }
 
 impl Sent {
@@ -82,7 +82,7 @@
         for output in outputs {
             let Output::Subscribers(ids, message) = output else { continue };
             if matches!(message.body, Some(DownstreamBody::Residency(_) | DownstreamBody::Expectation(_))) {
-                self.made += 1;
+                self.created += 1;
                 ids.iter().for_each(|id| self.messages.entry(*id).or_default().push(message.clone()));
             }
         }
@@ -92,11 +92,11 @@
         self.messages.get(&SubscriberId(id)).map_or(&[], Vec::as_slice)
     }
 
-    /// The newest version that a subscriber was told of a worker.
+    /// Newest residency version of a worker that was sent to a subscriber.
     fn newest(&self, id: u64, worker: u64) -> Option<u64> {
         let version = |message: &Downstream| match &message.body {
-            Some(DownstreamBody::Residency(told)) if told.worker == format!("w{worker}") => {
-                Some(told.version)
+            Some(DownstreamBody::Residency(residency)) if residency.worker == format!("w{worker}") => {
+                Some(residency.version)
             }
             _ => None,
         };
@@ -105,7 +105,7 @@
 }
 
 #[gtest]
-fn the_first_change_after_a_pause_is_told_at_once_and_the_next_to_home_subscribers_first() {
+fn the_first_change_after_a_pause_is_sent_immediately_and_the_next_to_home_subscribers_first() {
     let mut node = node();
     let mut sent = Sent::default();
     sent.take(node.handle(STARTED_AT + 300, residency(1, 1)));
@@ -121,7 +121,7 @@
 }
 
 #[gtest]
-fn in_a_small_fleet_changes_do_not_wait() {
+fn in_a_small_fleet_changes_are_sent_immediately() {
     let mut node = lone_node(ADDRESS);
     run(&mut node, 0, STARTED_AT);
     node.handle(STARTED_AT, heartbeat(1, 1, "m0"));
@@ -139,10 +139,10 @@
 }
 
 #[gtest]
-fn changes_by_the_hundred_cost_a_core_node_a_bounded_number_of_messages_a_second() {
+fn frequent_changes_cause_a_bounded_number_of_messages_per_second() {
     let mut node = node();
     let mut sent = Sent::default();
-    // In one second 25 workers change 40 times each, by one millisecond after another.
+    // Each of 25 workers changes 40 times within one second, one change per millisecond.
     for ms in 0..1_000 {
         let now = STARTED_AT + ms;
         sent.take(node.handle(now, residency(ms % WORKERS, 1 + ms / WORKERS)));
@@ -156,15 +156,15 @@
     for (id, worker) in (0..HOMES + OTHERS).flat_map(|id| (0..WORKERS).map(move |worker| (id, worker))) {
         expect_that!(sent.newest(id, worker), some(eq(40)), "worker {worker} at subscriber {id}");
     }
-    // Another node's subscribers: each worker with each status, not with each change.
+    // Subscribers whose home is another node get each worker once per status, not once per change.
     expect_that!(sent.to(HOMES).len(), le(25 * 6));
-    expect_that!(sent.made, le(1_000 + 25 * 6));
+    expect_that!(sent.created, le(1_000 + 25 * 6));
     let written: usize = sent.messages.values().map(Vec::len).sum();
     expect_that!(written, le(1_000 * HOMES as usize + 25 * 6 * OTHERS as usize));
 }
 
 #[gtest]
-fn of_several_expectations_within_a_tick_the_newest_is_told() {
+fn only_the_newest_of_several_expectations_within_a_tick_is_sent() {
     let mut node = node();
     let mut sent = Sent::default();
     let now = STARTED_AT + 110;
@@ -173,17 +173,17 @@
     sent.take(node.handle(now + 2, expectation(1, 700)));
     sent.take(node.handle(now + TICK_MS, Input::Tick));
     let ready = |message: &Downstream| match &message.body {
-        Some(DownstreamBody::Expectation(told)) => told.ready_in_ms,
+        Some(DownstreamBody::Expectation(expectation)) => expectation.ready_in_ms,
         _ => None,
     };
-    let told: Vec<u64> = sent.to(0).iter().filter_map(ready).collect();
-    expect_that!(told, elements_are![eq(&900), eq(&700)]);
+    let received: Vec<u64> = sent.to(0).iter().filter_map(ready).collect();
+    expect_that!(received, elements_are![eq(&900), eq(&700)]);
 }
 
 #[gtest]
-fn a_worker_that_says_that_it_holds_another_model_is_told_of_to_all() {
+fn a_worker_with_a_changed_list_of_models_is_sent_to_all_subscribers() {
     let mut node = node();
-    let mut told = BTreeMap::new();
+    let mut received = BTreeMap::new();
     let mut take = |outputs: Vec<Output>| {
         for output in outputs {
             let Output::Subscribers(ids, Downstream { body: Some(DownstreamBody::Workers(workers)) }) =
@@ -191,7 +191,7 @@
             else {
                 continue;
             };
-            ids.iter().for_each(|id| *told.entry(id.0).or_insert(0) += workers.entries.len());
+            ids.iter().for_each(|id| *received.entry(id.0).or_insert(0) += workers.entries.len());
         }
     };
     take(node.handle(STARTED_AT + 110, heartbeat(1, 2, "m1")));
@@ -201,18 +201,18 @@
         take(node.handle(STARTED_AT + ms, Input::Tick));
     }
     for id in 0..HOMES + OTHERS {
-        expect_that!(told.get(&id), some(ge(&3)), "subscriber {id}");
+        expect_that!(received.get(&id), some(ge(&3)), "subscriber {id}");
     }
 }
 
-/// Guarded against: a status whose digest covers changes that its receiver is told only later shows a difference, and
-/// while changes go on all the time the receiver fetches the whole worker table again and again.
+/// Guards against a status whose digest covers changes that its receiver gets only later. The receiver sees a mismatch, and
+/// under continuous changes it fetches the whole worker table repeatedly.
 #[gtest]
-fn a_status_comes_after_all_changes_that_its_digest_covers() {
+fn a_status_is_sent_after_all_changes_that_its_digest_covers() {
     let mut node = node();
     let mut sequence = 1;
     let mut statuses = 0;
-    let mut untold: BTreeMap<u64, BTreeMap<String, u64>> = BTreeMap::new();
+    let mut unsent: BTreeMap<u64, BTreeMap<String, u64>> = BTreeMap::new();
     for ms in 0..2_000 {
         let now = STARTED_AT + 100 + ms;
         let mut outputs = Vec::new();
@@ -221,7 +221,7 @@
             let worker = ms % WORKERS;
             outputs.extend(node.handle(now, heartbeat(worker, sequence, &format!("m{sequence}"))));
             for id in 0..HOMES + OTHERS {
-                untold.entry(id).or_default().insert(format!("w{worker}"), sequence);
+                unsent.entry(id).or_default().insert(format!("w{worker}"), sequence);
             }
         }
         if ms % TICK_MS == 0 {
@@ -232,15 +232,15 @@
             match message.body {
                 Some(DownstreamBody::Workers(workers)) => {
                     let entries = workers.entries.iter().filter_map(|entry| Worker::from_bytes(entry).ok());
-                    let told: Vec<String> = entries.map(|worker| worker.id).collect();
+                    let received: Vec<String> = entries.map(|worker| worker.id).collect();
                     for id in ids {
-                        untold.entry(id.0).or_default().retain(|worker, _| !told.contains(worker));
+                        unsent.entry(id.0).or_default().retain(|worker, _| !received.contains(worker));
                     }
                 }
                 Some(DownstreamBody::Status(_)) => {
                     statuses += 1;
                     for id in ids {
-                        expect_that!(untold.get(&id.0).map_or(0, BTreeMap::len), eq(0), "subscriber {id:?}");
+                        expect_that!(unsent.get(&id.0).map_or(0, BTreeMap::len), eq(0), "subscriber {id:?}");
                     }
                 }
                 _ => {}
@@ -251,17 +251,17 @@
 }
 
 #[gtest]
-fn a_heartbeat_to_core_nodes_comes_after_all_changes_that_its_digest_covers() {
+fn a_heartbeat_to_core_nodes_is_sent_after_all_changes_that_its_digest_covers() {
     let mut node = node();
     let peer = PeerHeartbeat { life: 2, node: "core-2".to_owned(), ..PeerHeartbeat::default() };
-    let mut untold = 0;
+    let mut unsent = 0;
     let mut heartbeats = 0;
     for ms in 0..2_000 {
         let now = STARTED_AT + 100 + ms;
         let heard = PeerHeartbeat { sequence: 1 + ms, ..peer.clone() };
         let mut outputs = node.handle(now, from_placer(PeerBody::Heartbeat(heard)));
         let changed = ms % 7 == 0;
-        untold += u64::from(changed);
+        unsent += u64::from(changed);
         if changed {
             outputs.extend(node.handle(now, heartbeat(ms % WORKERS, 2 + ms, &format!("m{ms}"))));
         }
@@ -270,10 +270,10 @@
         }
         for output in outputs {
             match output {
-                Output::Peers(_, PeerFrame { body: Some(PeerBody::WorkerUpdate(_)), .. }) => untold = 0,
+                Output::Peers(_, PeerFrame { body: Some(PeerBody::WorkerUpdate(_)), .. }) => unsent = 0,
                 Output::Peers(_, PeerFrame { body: Some(PeerBody::Heartbeat(_)), .. }) => {
                     heartbeats += 1;
-                    expect_that!(untold, eq(0), "at {now} ms");
+                    expect_that!(unsent, eq(0), "at {now} ms");
                 }
                 _ => {}
             }
@@ -283,14 +283,14 @@
 }
 
 #[gtest]
-fn a_subscriber_that_changes_its_home_to_this_node_misses_nothing() {
+fn a_subscriber_that_changes_its_home_to_this_node_misses_no_change() {
     let mut node = node();
-    // A status has just gone out.
+    // A status has just been sent.
     node.handle(STARTED_AT + 100, Input::Tick);
     node.handle(STARTED_AT + 110, residency(1, 1));
     node.handle(STARTED_AT + 120, residency(1, 2));
     node.handle(STARTED_AT + 135, Input::Tick);
-    // The home subscribers have been told; the others would be with the next status.
+    // The home subscribers have the change; the others would get it with the next status.
     let mut sent = Sent::default();
     sent.take(node.handle(STARTED_AT + 140, hello(HOMES, true)));
     expect_that!(sent.newest(HOMES, 1), some(eq(2)));
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the operator.
+//! Configuration calls of the operator.
 
 use crate::input::{Answer, CallId};
 use crate::jobs::Job;
@@ -7,16 +7,17 @@
 use switchhill_distribution::Published;
 use switchhill_register::{Accepted, Ballot};
 
-/// Changes that may wait for the register at one node.
-const MOST_CHANGES: usize = 32;
+/// Maximum number of register jobs queued at one node; further changes are rejected.
+const MAX_WAITING_JOBS: usize = 32;
 
-/// Time in milliseconds for a read from its call to its answer. What a node computed before it was frozen is older.
-const READ_WITHIN: u64 = 900;
+/// Time limit in milliseconds from the call to the answer of a read. It excludes results that a node computed before its
+/// process was suspended.
+const READ_TIMEOUT_MS: u64 = 900;
 
 impl ControlNode {
-    /// The operator sends a change.
-    pub(crate) fn change_called(&mut self, now: u64, call: CallId, order: Order) {
-        if self.jobs.waiting_count() >= MOST_CHANGES {
+    /// Queues a configuration change of the operator.
+    pub(crate) fn handle_change_call(&mut self, now: u64, call: CallId, order: Order) {
+        if self.jobs.waiting_count() >= MAX_WAITING_JOBS {
             self.answer(call, Answer::undecided(ResultCode::TooManyOrders, "send it again"));
             return;
         }
@@ -24,17 +25,17 @@
         self.begin_next(now);
     }
 
-    /// The operator reads the configuration.
-    pub(crate) fn read_called(&mut self, now: u64, call: CallId) {
+    /// Queues a read of the configuration.
+    pub(crate) fn handle_read_call(&mut self, now: u64, call: CallId) {
         self.jobs.push(Job::Read { call, since: now });
         self.begin_next(now);
     }
 
-    /// Answers with the newest configuration, which was just read from a quorum.
+    /// Answers a read with the newest configuration, which has just been read from a quorum.
     pub(crate) fn answer_read(&mut self, now: u64, call: CallId, since: u64) {
         let document = self.state.document().map(|_| self.state.encoded().clone());
         let answer = match document {
-            _ if !self.has_quorum(now) || now >= since + READ_WITHIN => {
+            _ if !self.has_quorum(now) || now >= since + READ_TIMEOUT_MS => {
                 Answer::undecided(ResultCode::NoQuorum, "the read took too long")
             }
             Some(document) => Answer::json(200, document),
@@ -43,22 +44,22 @@
         self.answer(call, answer);
     }
 
-    /// Ballot of the committed value that the node knows.
+    /// Ballot of the newest committed value known to this node.
     pub(crate) fn committed_ballot(&self) -> Option<Ballot> {
         self.replica.committed().map(|accepted| accepted.ballot)
     }
 
-    /// A value of the register is known to be committed.
-    pub(crate) fn committed(&mut self, now: u64, accepted: &Accepted) {
+    /// Applies a committed value of the register.
+    pub(crate) fn apply_committed(&mut self, now: u64, accepted: &Accepted) {
         let state = match ControlState::decode(&accepted.value.data) {
             Ok(state) => state,
             Err(error) => {
-                log::error!("the committed value can't be read: {error}");
+                log::error!("failed to decode the committed register value: {error}");
                 return;
             }
         };
         self.control = state;
-        self.placer_seen(self.control.placer.clone());
+        self.placer_committed(self.control.placer.clone());
         self.publish_committed(now);
     }
 
--- a/crates/control/src/freshness.rs
+++ b/crates/control/src/freshness.rs
@@ -1,78 +1,77 @@
-//! Whether what the node holds is certain to be as new as its contact with a quorum.
+//! Detection of stale state: decides when the register has to be read again before the node serves.
 //!
-//! A node that lost contact reads the register from a quorum once it is back, before it speaks for the system. So does a
-//! node that hears of a ballot which it does not come to hold: while it was in contact with a quorum of the electorate that
-//! it knows, the electorate may have changed.
+//! A node that lost contact with the quorum reads the register from a quorum after contact returns, before it serves
+//! again. A node also does so if it learns of an accepted ballot whose value does not reach it: the electorate may have
+//! changed while the node was in contact with a quorum of the electorate that it knows.
 
 use crate::node::ControlNode;
 use switchhill_register::Ballot;
 
-/// Time in milliseconds in which a value that some node has accepted is usually known here to be chosen: three heartbeats.
-const BEHIND_FOR: u64 = 600;
+/// Time in milliseconds, three heartbeats, within which a value accepted by some node is normally known here as chosen.
+const BEHIND_TIMEOUT_MS: u64 = 600;
 
-/// Ballots that this node and others have accepted.
+/// Accepted ballots, as reported by this and other nodes, and the reads that cover them.
 #[derive(Debug, Default)]
 pub(crate) struct Freshness {
-    /// The highest ballot told.
-    told: Ballot,
-    /// A ballot told that is not known here yet, and since when it is awaited.
+    /// The highest accepted ballot reported so far.
+    highest_reported: Ballot,
+    /// A reported ballot that is not known here yet, and the time from which it has been awaited.
     awaited: Option<(Ballot, u64)>,
-    /// The highest ballot told when the read under way began.
-    reading: Ballot,
-    /// The highest ballot told before the last complete read of the register began.
-    read: Ballot,
-    /// When the read under way, or the last one, began.
-    reading_since: u64,
-    /// The last tick without contact with a quorum.
-    out_of_contact_at: Option<u64>,
+    /// The highest ballot reported when the current read started.
+    reported_at_read_start: Ballot,
+    /// The highest ballot reported before the last completed read of the register started.
+    covered_by_read: Ballot,
+    /// Start time of the current or last read.
+    read_started_at: u64,
+    /// Time of the last tick without contact with a quorum.
+    contact_lost_at: Option<u64>,
 }
 
 impl Freshness {
-    /// A node has accepted a value under this ballot.
-    pub(crate) fn told(&mut self, accepted: Ballot) {
-        self.told = self.told.max(accepted);
+    /// Records that a node has accepted a value under this ballot.
+    pub(crate) fn ballot_reported(&mut self, accepted: Ballot) {
+        self.highest_reported = self.highest_reported.max(accepted);
     }
 
-    /// A read of the register begins.
-    pub(crate) fn read_begins(&mut self, now: u64) {
-        self.reading = self.told;
-        self.reading_since = now;
+    /// Records the start of a read of the register.
+    pub(crate) fn read_started(&mut self, now: u64) {
+        self.reported_at_read_start = self.highest_reported;
+        self.read_started_at = now;
     }
 
-    /// Whether what the read brought is as new as the node's contact: one begun before contact was lost tells what a
-    /// majority held then.
-    pub(crate) fn read_counts(&self) -> bool {
-        self.out_of_contact_at.is_none_or(|lost_at| self.reading_since > lost_at)
+    /// Whether the read started after contact was last lost. An earlier one returns what a majority held before the loss.
+    pub(crate) fn is_read_current(&self) -> bool {
+        self.contact_lost_at.is_none_or(|lost_at| self.read_started_at > lost_at)
     }
 
-    /// A read of the register has ended with the newest value.
-    pub(crate) fn read_ended(&mut self) {
-        self.read = self.reading;
+    /// Records that the current read has returned the newest value.
+    pub(crate) fn read_completed(&mut self) {
+        self.covered_by_read = self.reported_at_read_start;
     }
 
-    /// Whether a ballot is awaited for too long. `held` is the one known to be chosen here. While changes follow one another
-    /// there always is a newer one, so each is given its time.
-    fn is_behind(&mut self, now: u64, held: Ballot) -> bool {
-        let known = held.max(self.read);
+    /// Whether a ballot has been awaited for too long. `committed` is the newest ballot known here as chosen. During a
+    /// series of changes some newer ballot is always awaited, so the time limit applies to each ballot separately.
+    fn is_behind(&mut self, now: u64, committed: Ballot) -> bool {
+        let known = committed.max(self.covered_by_read);
         self.awaited = self.awaited.filter(|(ballot, _)| *ballot > known);
-        if self.awaited.is_none() && self.told > known {
-            self.awaited = Some((self.told, now));
+        if self.awaited.is_none() && self.highest_reported > known {
+            self.awaited = Some((self.highest_reported, now));
         }
-        self.awaited.is_some_and(|(_, since)| now >= since + BEHIND_FOR)
+        self.awaited.is_some_and(|(_, since)| now >= since + BEHIND_TIMEOUT_MS)
     }
 }
 
 impl ControlNode {
-    /// Has the register read again before the node serves, once what it holds may be old.
+    /// Requires a new read of the register before the node serves again if its state may be stale.
     pub(crate) fn tick_freshness(&mut self, now: u64) {
-        // Its own acceptance counts too: a value not known to be chosen may name another electorate.
+        // The node's own accepted ballot counts too: a value not known to be chosen may contain another electorate.
         let accepted = self.replica.accepted_ballot();
-        self.freshness.told(accepted);
-        let held = self.committed_ballot().unwrap_or(Ballot::NONE);
-        let is_behind = self.freshness.is_behind(now, held);
+        self.freshness.ballot_reported(accepted);
+        let committed = self.committed_ballot().unwrap_or(Ballot::NONE);
+        let is_behind = self.freshness.is_behind(now, committed);
         let in_contact = self.has_quorum(now);
         if !in_contact {
-            self.freshness.out_of_contact_at = Some(now);
+            self.freshness.contact_lost_at = Some(now);
         }
         if is_behind || !in_contact {
             self.caught_up = false;
--- a/crates/control/src/jobs.rs
+++ b/crates/control/src/jobs.rs
@@ -1,4 +1,5 @@
-//! Work on the register, one job at a time: changes, reads, the placer's epoch, the electorate.
+//! Queue of register operations, executed one at a time: configuration changes, reads, acquisition of the placer role, and
+//! electorate changes.
 
 #[cfg(test)]
 mod tests;
@@ -10,53 +11,53 @@
 use switchhill_configuration::{ControlState, Decision, Order, PlacerGrant, ResultCode};
 use switchhill_register::{Accepted, Input, RegisterError};
 
-/// Time in milliseconds within which a call's job may be begun again after it lost a race.
-const RETRY_WITHIN: u64 = 800;
+/// Time in milliseconds after a call within which its job is retried if it lost to a concurrent proposal.
+const RETRY_WINDOW_MS: u64 = 800;
 
-/// Pause in milliseconds before the register is read again at the start.
-const CATCH_UP_EVERY: u64 = 100;
+/// Minimum interval in milliseconds between attempts to read the register before the node serves.
+const CATCH_UP_INTERVAL_MS: u64 = 100;
 
-/// What is done with the register.
+/// An operation on the register.
 #[derive(Debug, Clone)]
 pub(crate) enum Job {
-    /// The register is read before the node serves.
+    /// Reads the register before the node serves.
     CatchUp,
     /// An operator's change.
     Change { call: CallId, order: Order, since: u64, answer: Option<Answer> },
-    /// The operator reads the configuration.
+    /// A read of the configuration by the operator.
     Read { call: CallId, since: u64 },
-    /// This node becomes the placer, or takes a new epoch.
-    TakePlacer { grant: Option<PlacerGrant>, former: Option<String> },
-    /// The electorate changes, to what is desired once the present one is known.
+    /// Acquires the placer role, or a new epoch of it, for this node.
+    AcquirePlacerRole { grant: Option<PlacerGrant>, previous_holder: Option<String> },
+    /// Changes the electorate to the members that are desired once the current electorate is known.
     Electorate,
 }
 
-/// Jobs that wait, and the one under way.
+/// Waiting jobs and the current one.
 #[derive(Debug, Default)]
 pub(crate) struct Jobs {
     waiting: VecDeque<Job>,
     current: Option<(u64, Job)>,
     next_operation: u64,
-    next_catch_up: u64,
+    next_catch_up_at: u64,
 }
 
 impl Jobs {
-    /// Adds a job at the end.
+    /// Appends a job to the queue.
     pub(crate) fn push(&mut self, job: Job) {
         self.waiting.push_back(job);
     }
 
-    /// Adds a job before all that wait.
+    /// Inserts a job at the head of the queue.
     pub(crate) fn push_first(&mut self, job: Job) {
         self.waiting.push_front(job);
     }
 
-    /// Whether a job of the kind that a test tells waits or is under way.
+    /// Whether a waiting job or the current one satisfies the predicate.
     pub(crate) fn has(&self, is_kind: impl Fn(&Job) -> bool) -> bool {
         self.waiting.iter().any(&is_kind) || self.current.as_ref().is_some_and(|(_, job)| is_kind(job))
     }
 
-    /// Jobs that wait.
+    /// Number of waiting jobs.
     pub(crate) fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
@@ -70,7 +71,7 @@
 }
 
 impl ControlNode {
-    /// Begins the next job if none is under way.
+    /// Queues a read of the register if one is due, and starts the next job if none is running.
     pub(crate) fn tick_jobs(&mut self, now: u64) {
         self.queue_catch_up(now);
         self.begin_next(now);
@@ -78,14 +79,14 @@
 
     fn queue_catch_up(&mut self, now: u64) {
         let pending = self.jobs.has(|job| matches!(job, Job::CatchUp));
-        if self.caught_up || pending || now < self.jobs.next_catch_up || !self.has_quorum(now) {
+        if self.caught_up || pending || now < self.jobs.next_catch_up_at || !self.has_quorum(now) {
             return;
         }
-        self.jobs.next_catch_up = now + CATCH_UP_EVERY;
+        self.jobs.next_catch_up_at = now + CATCH_UP_INTERVAL_MS;
         self.jobs.waiting.push_front(Job::CatchUp);
     }
 
-    /// Begins the next job if none is under way.
+    /// Starts the next job if none is running.
     pub(crate) fn begin_next(&mut self, now: u64) {
         if self.jobs.current.is_some() {
             return;
@@ -94,7 +95,7 @@
         self.jobs.next_operation += 1;
         let operation = self.jobs.next_operation;
         if matches!(job, Job::CatchUp) {
-            self.freshness.read_begins(now);
+            self.freshness.read_started(now);
         }
         let input = match job {
             Job::CatchUp | Job::Read { .. } => Input::Read { operation },
@@ -104,7 +105,7 @@
         self.register_input(now, input);
     }
 
-    /// The register's present value is known to the job under way.
+    /// Continues the current job with the current value of the register.
     pub(crate) fn job_prepared(&mut self, now: u64, operation: u64, current: Option<Accepted>) {
         let Some(mut job) = self.jobs.take_current(operation) else { return };
         let decoded = match &current {
@@ -114,7 +115,7 @@
         let state = match decoded {
             Ok(state) => state,
             Err(error) => {
-                log::error!("the register's value can't be read: {error}");
+                log::error!("failed to decode the register value: {error}");
                 self.abandon(now, operation, job);
                 return;
             }
@@ -127,7 +128,7 @@
         let data = current.map(|accepted| accepted.value.data);
         let write = match &mut job {
             Job::Change { call, order, answer, .. } => {
-                let (next, reply) = decide_change(&state, order, data, is_chosen);
+                let (next, reply) = apply_order(&state, order, data, is_chosen);
                 *answer = Some(reply.clone());
                 if next.is_none() {
                     let call = *call;
@@ -135,13 +136,13 @@
                 }
                 next.map(|data| (data, None))
             }
-            Job::TakePlacer { grant, former } => {
+            Job::AcquirePlacerRole { grant, previous_holder } => {
                 let next = state.grant_placer(self.settings.holder());
-                *former = state.placer.map(|grant| grant.holder);
+                *previous_holder = state.placer.map(|grant| grant.holder);
                 *grant = next.placer.clone();
                 Some((Bytes::from(next.encode()), None))
             }
-            // Of an empty register the first value, without a configuration: all nodes learn from it who votes.
+            // An empty register gets its first value, without a configuration, from which all nodes learn the electorate.
             Job::Electorate => {
                 desired.map(|members| (data.unwrap_or_else(|| Bytes::from(state.encode())), Some(members)))
             }
@@ -155,7 +156,7 @@
         self.register_input(now, Input::Write { operation, data, members });
     }
 
-    /// Whether a value that was reported is known to have been chosen.
+    /// Whether a reported value is known to be chosen.
     fn is_chosen(&self, reported: &Accepted) -> bool {
         self.replica.committed().is_some_and(|committed| committed.value.origin() == reported.value.origin())
     }
@@ -168,45 +169,47 @@
         self.begin_next(now);
     }
 
-    /// The job under way has ended.
+    /// Handles the result of the current job.
     pub(crate) fn job_done(&mut self, now: u64, operation: u64, result: Result<Accepted, RegisterError>) {
         let Some(job) = self.jobs.take_current(operation) else { return };
         match result {
-            // The register has told of the newest value before; this one may be older.
+            // The newest value has already been applied when it was committed; this one may be older.
             Ok(_) => self.job_succeeded(now, job),
             Err(error) => self.job_failed(now, job, &error),
         }
         self.begin_next(now);
     }
 
-    /// The register was read. A read begun before contact was lost tells what a majority held then.
-    fn has_caught_up(&mut self, now: u64) {
-        if !self.freshness.read_counts() {
+    /// Completes a read of the register, unless it started before contact was lost and may thus be outdated.
+    fn finish_catch_up(&mut self, now: u64) {
+        if !self.freshness.is_read_current() {
             return;
         }
         self.caught_up = true;
-        self.freshness.read_ended();
+        self.freshness.read_completed();
         self.publish_configuration(now, None);
     }
 
     fn job_succeeded(&mut self, now: u64, job: Job) {
         match job {
-            Job::CatchUp => self.has_caught_up(now),
+            Job::CatchUp => self.finish_catch_up(now),
             Job::Change { call, answer, .. } => {
                 let unknown = || Answer::undecided(ResultCode::OutcomeUnknown, "no answer was kept");
                 let answer = answer.unwrap_or_else(unknown);
                 self.answer(call, answer);
             }
             Job::Read { call, since } => self.answer_read(now, call, since),
-            Job::TakePlacer { grant, former } => self.placer_granted(now, grant, former),
+            Job::AcquirePlacerRole { grant, previous_holder } => {
+                self.placer_granted(now, grant, previous_holder)
+            }
             Job::Electorate => {}
         }
     }
 
     fn job_failed(&mut self, now: u64, job: Job, error: &RegisterError) {
-        log::debug!("work on the register failed: {error}");
+        log::debug!("register operation failed: {error}");
         match job {
-            Job::CatchUp if *error == RegisterError::Empty => self.has_caught_up(now),
+            Job::CatchUp if *error == RegisterError::Empty => self.finish_catch_up(now),
             Job::Read { call, since } if *error == RegisterError::Empty => {
                 self.answer_read(now, call, since);
             }
@@ -216,7 +219,7 @@
                         call,
                         Answer::undecided(ResultCode::OutcomeUnknown, "no quorum confirmed it"),
                     );
-                } else if now < since + RETRY_WITHIN {
+                } else if now < since + RETRY_WINDOW_MS {
                     self.jobs.waiting.push_front(Job::Change { call, order, since, answer: None });
                 } else {
                     self.answer(call, Answer::undecided(ResultCode::NoQuorum, "no quorum answered"));
@@ -225,14 +228,14 @@
             Job::Read { call, .. } => {
                 self.answer(call, Answer::undecided(ResultCode::NoQuorum, "no quorum answered"));
             }
-            Job::CatchUp | Job::TakePlacer { .. } | Job::Electorate => {}
+            Job::CatchUp | Job::AcquirePlacerRole { .. } | Job::Electorate => {}
         }
     }
 }
 
-/// What an order makes of a state: the value to write, if any, and the answer once it is written. `is_chosen` tells whether
-/// the state, encoded in `data`, is certain to be the register's.
-fn decide_change(
+/// Applies an order to a state. Returns the value to write, if any, and the answer to give once it is written. `is_chosen`
+/// tells whether the state, whose encoding is `data`, is known to be chosen.
+fn apply_order(
     state: &ControlState,
     order: &Order,
     data: Option<Bytes>,
@@ -243,14 +246,14 @@
             let revision = next.document.as_ref().map_or(0, |document| document.revision());
             (Some(Bytes::from(next.encode())), Answer::acknowledged(ResultCode::Taken, revision))
         }
-        // Written once more, so that it is certain to be committed before it is acknowledged.
+        // The value is written again, so that it is certain to be committed before the order is acknowledged.
         Decision::TakenBefore { revision } => (data, Answer::acknowledged(ResultCode::TakenBefore, revision)),
         Decision::Forgotten => (
             None,
             Answer::undecided(ResultCode::OrderForgotten, "read the configuration to see what is in force"),
         ),
-        // A state that only a minority accepted may yet give way, and then the order might be taken elsewhere: it is
-        // refused only once the state that speaks against it is chosen.
+        // A state accepted only by a minority may still be replaced, and another node might then accept the order. The
+        // order is therefore refused only once the state that conflicts with it is chosen.
         Decision::Refused(error) => (data.filter(|_| !is_chosen), Answer::refused(&error)),
     }
 }
--- a/crates/control/src/jobs/tests.rs
+++ b/crates/control/src/jobs/tests.rs
@@ -1,6 +1,6 @@
-//! Tests of what an order makes of a state.
+//! Tests of applying orders to a state, and of jobs that end after the state has changed.
 
-use super::{decide_change, Job};
+use super::{apply_order, Job};
 use crate::lone_node_tests::{lone_member, lone_node, run};
 use crate::node::ControlNode;
 use bytes::Bytes;
@@ -14,23 +14,23 @@
 }
 
 fn state_after(first: &Order) -> (ControlState, Bytes) {
-    let (data, _) = decide_change(&ControlState::default(), first, None, true);
+    let (data, _) = apply_order(&ControlState::default(), first, None, true);
     let data = data.expect("the first order is taken");
     (ControlState::decode(&data).expect("a state that was encoded"), data)
 }
 
 #[gtest]
-fn an_order_is_refused_at_once_on_a_chosen_state() {
+fn an_order_is_refused_immediately_if_the_state_is_chosen() {
     let (state, data) = state_after(&order(0, 3));
-    let (write, answer) = decide_change(&state, &order(0, 4), Some(data), true);
+    let (write, answer) = apply_order(&state, &order(0, 4), Some(data), true);
     expect_that!(write, none());
     expect_that!(answer.status, eq(412));
 }
 
 #[gtest]
-fn an_order_is_refused_only_after_the_state_against_it_is_written_again() {
+fn an_order_is_refused_only_after_the_conflicting_state_is_written_again() {
     let (state, data) = state_after(&order(0, 3));
-    let (write, answer) = decide_change(&state, &order(0, 4), Some(data.clone()), false);
+    let (write, answer) = apply_order(&state, &order(0, 4), Some(data.clone()), false);
     expect_that!(write, some(eq(&data)));
     expect_that!(answer.status, eq(412));
 }
@@ -52,21 +52,22 @@
     Accepted { ballot, value }
 }
 
-/// A change of the electorate ends with its joint value although a newer one has been chosen meanwhile.
+/// Guards against applying the result of an electorate change, its joint value, after a newer value has been chosen.
 #[gtest]
-fn a_job_that_ends_with_an_older_value_takes_nothing_back() {
+fn a_job_that_ends_with_an_older_value_does_not_revert_the_state() {
     let mut node = node();
     let older = ControlState::default().grant_placer("core-1");
     let newer = older.grant_placer("core-2");
-    node.committed(0, &chosen(5, &newer));
+    node.apply_committed(0, &chosen(5, &newer));
     node.jobs.current = Some((1, Job::Electorate));
     node.job_done(1, 1, Ok(chosen(4, &older)));
     expect_that!(node.control, eq(&newer));
 }
 
-/// The electorate has been replaced while the change waited: who votes is worked out from the value that is prepared.
+/// Guards against writing an electorate change that is outdated because the electorate was replaced while the change was
+/// queued. The members are computed from the prepared value.
 #[gtest]
-fn a_change_worked_out_from_an_older_electorate_is_not_written() {
+fn a_change_computed_from_an_older_electorate_is_not_written() {
     let mut node = node();
     run(&mut node, 0, 4_000);
     let before = node.replica.accepted_ballot();
--- a/crates/control/src/lone_node_tests.rs
+++ b/crates/control/src/lone_node_tests.rs
@@ -1,18 +1,18 @@
-//! What unit tests share: a core of one machine, and a disk that writes at once.
+//! Shared helpers of the unit tests: a core with a single node, and a disk that writes immediately.
 
 use crate::input::{Input, NodeSettings, Output};
 use crate::node::ControlNode;
 use switchhill_register::{Member, ReplicaId};
 
-/// Time in milliseconds between two ticks, as in the program.
+/// Tick interval in milliseconds, as in the program.
 const TICK_MS: usize = 25;
 
-/// The only member of the core at an address.
+/// The only member of a single-node core at this address.
 pub(crate) fn lone_member(address: &str) -> Member {
     Member { id: ReplicaId(1), address: address.to_owned() }
 }
 
-/// A core of one machine, before its first tick. All machines of these tests bear one name.
+/// A single-node core before its first tick. All machines of these tests have the same node name.
 pub(crate) fn lone_node(address: &str) -> ControlNode {
     let settings = NodeSettings {
         replica_id: 1,
@@ -33,7 +33,7 @@
     ControlNode::new(0, settings, Vec::new(), Some(vec![lone_member(address)]))
 }
 
-/// Lets time pass on a disk that writes at once, until so many milliseconds.
+/// Advances the time in ticks from `from` to `until` in milliseconds, with a disk that writes immediately.
 pub(crate) fn run(node: &mut ControlNode, from: u64, until: u64) {
     for now in (from..until).step_by(TICK_MS) {
         let mut outputs = node.handle(now, Input::Tick);
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: its parts, and which of them an input goes to.
+//! The core node: its components, and the dispatch of inputs to them.
 
 use crate::announcements::Announcements;
 use crate::freshness::Freshness;
@@ -17,7 +17,7 @@
 use switchhill_register::{Member, Output as RegisterOutput, Record, Replica, ReplicaId};
 use switchhill_registration::SuspectAfter;
 
-/// Worker heartbeats without which a worker is suspected, in tenths.
+/// Silence of a worker after which it is suspected, in tenths of its heartbeat interval.
 const SUSPECT_AFTER_TENTHS: u64 = 26;
 
 /// A core node.
@@ -25,9 +25,9 @@
     pub(crate) settings: NodeSettings,
     pub(crate) contacts: Contacts,
     pub(crate) replica: Replica,
-    /// What the committed value of the register says.
+    /// Content of the newest committed value of the register.
     pub(crate) control: ControlState,
-    /// Configuration, workers and residency, as subscribers get them.
+    /// Configuration, workers and residency, as published to subscribers.
     pub(crate) state: MergedState,
     pub(crate) jobs: Jobs,
     pub(crate) subscribers: Subscribers,
@@ -36,22 +36,23 @@
     pub(crate) unreachable_workers: UnreachableWorkers,
     pub(crate) load: FleetLoad,
     pub(crate) placer: Placer,
-    /// When the node began.
+    /// Start time of the node.
     pub(crate) started_at: u64,
-    /// Whether the register was read since contact with a quorum was last regained.
+    /// Whether the register has been read since contact with a quorum was last restored.
     pub(crate) caught_up: bool,
     pub(crate) freshness: Freshness,
-    /// Whether the worker table is whole.
-    pub(crate) warm: bool,
-    /// Whether the process was told to end.
+    /// Whether the worker table is complete.
+    pub(crate) workers_complete: bool,
+    /// Whether the process is shutting down.
     pub(crate) leaving: bool,
-    /// Addresses of core nodes that were told of and not heard yet.
-    pub(crate) told_addresses: BTreeSet<String>,
-    pub(crate) out: Vec<Output>,
+    /// Addresses of core nodes that other nodes reported in their heartbeats.
+    pub(crate) reported_addresses: BTreeSet<String>,
+    pub(crate) outputs: Vec<Output>,
 }
 
 impl ControlNode {
-    /// A node with what its disk holds. `genesis` is the first electorate where the whole system starts.
+    /// Creates a node from the records on its disk. `genesis` is the initial electorate if the whole system starts for the
+    /// first time.
     pub fn new(
         now: u64,
         settings: NodeSettings,
@@ -81,21 +82,21 @@
             started_at: now,
             caught_up: false,
             freshness: Freshness::default(),
-            warm: false,
+            workers_complete: false,
             leaving: false,
-            told_addresses: BTreeSet::new(),
-            out: Vec::new(),
+            reported_addresses: BTreeSet::new(),
+            outputs: Vec::new(),
             settings,
         }
     }
 
-    /// Takes in what happened and returns what is to be done, in this order.
+    /// Handles an input and returns the outputs in the order in which they have to be carried out.
     pub fn handle(&mut self, now: u64, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
             Input::Peer(frame) => self.peer_frame(now, frame),
             Input::Subscriber(id, message) => self.subscriber_message(now, id, message),
-            Input::SubscriberDisconnected(id) => self.subscribers.gone(id),
+            Input::SubscriberDisconnected(id) => self.subscribers.remove(id),
             Input::Call(id, call) => self.call(now, id, call),
             Input::Persisted(token) => {
                 self.register_input(now, switchhill_register::Input::Persisted { token })
@@ -106,36 +107,37 @@
             Input::LogCompactionDue => self.rewrite_log(),
             Input::Leave => self.start_leaving(now),
             Input::OrderAnswered(ticket, answer) => self.order_answered(now, &ticket, answer),
-            Input::Reported(report) => self.reported(now, report),
+            Input::Reported(report) => self.report_received(now, report),
         }
-        self.announce(now);
-        std::mem::take(&mut self.out)
+        self.send_due_announcements(now);
+        std::mem::take(&mut self.outputs)
     }
 
-    /// Whether a quorum of the electorate was certain to hear this node a short time ago.
+    /// Whether a quorum of the electorate is known to have received a message of this node recently.
     pub fn has_quorum(&self, now: u64) -> bool {
         self.has_quorum_within(now, self.contacts.settings().contact_for)
     }
 
-    /// Whether a quorum of the electorate was certain to hear this node within a time in milliseconds.
+    /// Whether a quorum of the electorate is known to have received a message of this node within the last `within`
+    /// milliseconds.
     pub(crate) fn has_quorum_within(&self, now: u64, within: u64) -> bool {
         let contact: BTreeSet<ReplicaId> =
             self.contacts.in_contact_within(now, within).map(ReplicaId).collect();
         self.replica.electorate().is_some_and(|electorate| electorate.is_quorum(&contact))
     }
 
-    /// Whether the node may speak for the system: it is in contact with a quorum, and has read the register since that
+    /// Whether the node serves calls and subscribers: it is in contact with a quorum and has read the register since that
     /// contact began.
     pub fn serves(&self, now: u64) -> bool {
         self.caught_up && self.has_quorum(now)
     }
 
-    /// Revision of the committed configuration that the node knows.
+    /// Revision of the newest committed configuration known to the node.
     pub fn revision(&self) -> u64 {
         self.state.revision()
     }
 
-    /// Epoch under which the node places models, if it does.
+    /// Epoch of the placer role if this node holds it.
     pub fn placer_epoch(&self) -> Option<u64> {
         self.placer.epoch()
     }
@@ -152,7 +154,7 @@
         self.tick_subscribers(now);
     }
 
-    /// Hands an input to the register and carries out what it returns.
+    /// Passes an input to the register replica and handles its outputs.
     pub(crate) fn register_input(&mut self, now: u64, input: switchhill_register::Input) {
         for output in self.replica.handle(now, input) {
             self.register_output(now, output);
@@ -163,17 +165,17 @@
         match output {
             RegisterOutput::Send { address, message, .. } => self.send_register(address, &message),
             RegisterOutput::Persist { token, record } => {
-                self.out.push(Output::Persist(token, record.encode().to_vec()))
+                self.outputs.push(Output::Persist(token, record.encode().to_vec()))
             }
             RegisterOutput::Prepared { operation, current } => self.job_prepared(now, operation, current),
             RegisterOutput::Done { operation, result } => self.job_done(now, operation, result),
-            RegisterOutput::Committed(accepted) => self.committed(now, &accepted),
+            RegisterOutput::Committed(accepted) => self.apply_committed(now, &accepted),
         }
     }
 
     fn rewrite_log(&mut self) {
         let records = self.replica.records().iter().map(|record| record.encode().to_vec()).collect();
-        self.out.push(Output::RewriteLog(records));
+        self.outputs.push(Output::RewriteLog(records));
     }
 
     fn call(&mut self, now: u64, id: CallId, call: Call) {
@@ -183,15 +185,15 @@
         }
         match call {
             Call::Heartbeat { id: worker, body } => self.worker_heartbeat(now, id, &worker, &body),
-            Call::Deregister { id: worker } => self.worker_gone(now, id, &worker),
-            Call::Change(order) => self.change_called(now, id, order),
-            Call::Read => self.read_called(now, id),
+            Call::Deregister { id: worker } => self.worker_deregistered(now, id, &worker),
+            Call::Change(order) => self.handle_change_call(now, id, order),
+            Call::Read => self.handle_read_call(now, id),
         }
     }
 
     /// Answers a call.
     pub(crate) fn answer(&mut self, id: CallId, answer: Answer) {
-        self.out.push(Output::Answer(id, answer));
+        self.outputs.push(Output::Answer(id, answer));
     }
 
     /// Sends a message to a subscriber.
@@ -206,7 +208,7 @@
         message: switchhill_protocol::Downstream,
     ) {
         if !ids.is_empty() {
-            self.out.push(Output::Subscribers(ids, message));
+            self.outputs.push(Output::Subscribers(ids, message));
         }
     }
 }
@@ -217,7 +219,7 @@
         Answer { status, body: body.into() }
     }
 
-    /// The change is not taken.
+    /// The change was refused.
     pub(crate) fn refused(error: &ConfigurationError) -> Answer {
         Answer::json(error.code.http_status(), error.answer())
     }
@@ -227,7 +229,7 @@
         Answer::json(code.http_status(), code.acknowledgement(revision))
     }
 
-    /// No clear answer: the call may be made again, here or elsewhere.
+    /// The outcome is not known, or the call was not handled. It may be repeated on this or another node.
     pub(crate) fn undecided(code: ResultCode, detail: &str) -> Answer {
         Answer::json(code.http_status(), code.answer(detail))
     }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages of other core nodes.
+//! Messages to and from other core nodes.
 
 use crate::input::Output;
 use crate::node::ControlNode;
@@ -8,12 +8,12 @@
 use switchhill_register::{Ballot, Body, Input, Message, ReplicaId};
 
 impl ControlNode {
-    /// A message to the core node at an address.
+    /// Sends a message to the core node at an address.
     pub(crate) fn send_peer(&mut self, address: String, body: PeerBody) {
         self.send_peers(vec![address], body);
     }
 
-    /// A message to the core nodes at some addresses, the node's own left out.
+    /// Sends a message to the core nodes at these addresses, except the node's own.
     fn send_peers(&mut self, mut addresses: Vec<String>, body: PeerBody) {
         addresses.retain(|address| *address != self.settings.address);
         if addresses.is_empty() {
@@ -24,10 +24,10 @@
             address: self.settings.address.clone(),
             body: Some(body),
         };
-        self.out.push(Output::Peers(addresses, frame));
+        self.outputs.push(Output::Peers(addresses, frame));
     }
 
-    /// A message to all core nodes that are heard.
+    /// Sends a message to all core nodes that count as up.
     pub(crate) fn send_all_peers(&mut self, now: u64, body: PeerBody) {
         self.send_peers(self.live_peer_addresses(now), body);
     }
@@ -37,15 +37,15 @@
         up.map(|(_, contact)| contact.address.clone()).collect()
     }
 
-    /// Addresses of all core nodes that the node knows of, its own included.
+    /// Addresses of all known core nodes, including the node's own.
     pub(crate) fn known_addresses(&self) -> BTreeSet<String> {
         let mut known: BTreeSet<String> = self.settings.seeds.iter().cloned().collect();
-        known.extend(self.told_addresses.iter().cloned());
+        known.extend(self.reported_addresses.iter().cloned());
         known.extend(self.core_addresses());
         known
     }
 
-    /// Addresses of the core nodes that are members or heard, the node's own included.
+    /// Addresses of the core nodes that are members or have been heard, including the node's own.
     pub(crate) fn core_addresses(&self) -> BTreeSet<String> {
         let mut addresses = BTreeSet::from([self.settings.address.clone()]);
         addresses.extend(self.contacts.iter().map(|(_, contact)| contact.address.clone()));
@@ -55,28 +55,28 @@
         addresses
     }
 
-    /// Sends heartbeats when they are due.
+    /// Sends heartbeats if they are due.
     pub(crate) fn send_heartbeats(&mut self, now: u64) {
         let seeking = !self.is_in_quorum(now);
         if let Some(sequence) = self.contacts.heartbeat_due(now, seeking) {
-            self.send_heartbeat_as(now, sequence);
+            self.send_heartbeat_with(now, sequence);
         }
     }
 
-    /// Sends a heartbeat at once.
+    /// Sends a heartbeat immediately.
     pub(crate) fn send_heartbeat(&mut self, now: u64) {
         let sequence = self.contacts.next_heartbeat(now);
-        self.send_heartbeat_as(now, sequence);
+        self.send_heartbeat_with(now, sequence);
     }
 
-    /// Whether the node is in contact with a quorum and has read the register in this life.
+    /// Whether the node is in contact with a quorum and has read the register since that contact was last lost.
     fn is_in_quorum(&self, now: u64) -> bool {
         self.has_quorum(now) && self.caught_up
     }
 
-    fn send_heartbeat_as(&mut self, now: u64, sequence: u64) {
-        // Its digest covers them.
-        self.announce_to_peers(now);
+    fn send_heartbeat_with(&mut self, now: u64, sequence: u64) {
+        // The changes precede the heartbeat because its digest covers them.
+        self.send_model_changes_to_peers(now);
         let committed = self.committed_ballot().unwrap_or(Ballot::NONE);
         let accepted = self.replica.accepted_ballot();
         let echoes = self.contacts.echoes();
@@ -89,7 +89,7 @@
             committed_counter: committed.counter,
             committed_proposer: committed.proposer.0,
             workers_digest: self.state.workers().digest(),
-            warm: self.warm,
+            warm: self.workers_complete,
             home_gatekeepers: self.subscribers.home_count(),
             known: self.core_addresses().into_iter().collect(),
             life: self.contacts.life(),
@@ -103,7 +103,7 @@
         self.send_peers(known, PeerBody::Heartbeat(heartbeat));
     }
 
-    /// Takes in a message of another core node.
+    /// Handles a message from another core node.
     pub(crate) fn peer_frame(&mut self, now: u64, frame: PeerFrame) {
         let PeerFrame { from, address, body } = frame;
         if from == self.settings.replica_id {
@@ -114,19 +114,20 @@
             Some(PeerBody::Register(envelope)) => self.register_message(now, from, &envelope),
             Some(PeerBody::WorkerUpdate(update)) => self.worker_update(now, address, update),
             Some(PeerBody::WorkerUpdateAck(ack)) => self.worker_update_acknowledged(now, from, ack.number),
-            Some(PeerBody::WorkersHeard(heard)) => self.workers_heard(now, &heard),
-            Some(PeerBody::Load(load)) => self.load.peer(now, from, load),
-            Some(PeerBody::Missing(missing)) => self.missing(now, missing, false),
+            Some(PeerBody::WorkersHeard(heard)) => self.peer_heard_workers(now, &heard),
+            Some(PeerBody::Load(load)) => self.load.apply_peer_report(now, from, load),
+            Some(PeerBody::Missing(missing)) => self.model_missing(now, missing, false),
             Some(PeerBody::Unreachable(report)) => self.unreachable(now, &report, false),
-            Some(PeerBody::Residency(residency)) => self.residency(&residency),
-            Some(PeerBody::Expectation(expectation)) => self.expectation(expectation),
+            Some(PeerBody::Residency(residency)) => self.apply_residency(&residency),
+            Some(PeerBody::Expectation(expectation)) => self.queue_expectation(expectation),
             None => {}
         }
     }
 
     fn peer_heartbeat(&mut self, now: u64, from: u64, address: String, heartbeat: PeerHeartbeat) {
-        let mine = |echo: &&Echo| echo.from == self.settings.replica_id && echo.life == self.contacts.life();
-        let echo = heartbeat.echoes.iter().find(mine).map(|echo| echo.sequence);
+        let is_own =
+            |echo: &&Echo| echo.from == self.settings.replica_id && echo.life == self.contacts.life();
+        let echo = heartbeat.echoes.iter().find(is_own).map(|echo| echo.sequence);
         let heard = Heard {
             id: from,
             address: address.clone(),
@@ -137,32 +138,32 @@
             told: Told { zone: heartbeat.zone, in_quorum: heartbeat.in_quorum, leaving: heartbeat.leaving },
         };
         self.contacts.heard(now, heard);
-        self.told_addresses.extend(heartbeat.known);
-        self.load.peer_gatekeepers(now, from, heartbeat.home_gatekeepers);
+        self.reported_addresses.extend(heartbeat.known);
+        self.load.set_peer_gatekeepers(now, from, heartbeat.home_gatekeepers);
         let theirs = Ballot {
             counter: heartbeat.committed_counter,
             proposer: ReplicaId(heartbeat.committed_proposer),
         };
         let accepted =
             Ballot { counter: heartbeat.accepted_counter, proposer: ReplicaId(heartbeat.accepted_proposer) };
-        self.freshness.told(accepted);
-        self.bring_up_to_date(now, from, &address, theirs);
+        self.freshness.ballot_reported(accepted);
+        self.send_newer_committed(now, from, &address, theirs);
         self.compare_workers(now, from, address, heartbeat.workers_digest, heartbeat.warm);
     }
 
-    /// Sends the committed value to a node that knows an older one.
-    fn bring_up_to_date(&mut self, now: u64, to: u64, address: &str, theirs: Ballot) {
+    /// Sends the committed value to a node that has an older one.
+    fn send_newer_committed(&mut self, now: u64, to: u64, address: &str, theirs: Ballot) {
         let Some(accepted) = self.replica.committed().filter(|accepted| accepted.ballot > theirs) else {
             return;
         };
         let body = Body::Committed { ballot: accepted.ballot, value: Some(accepted.value.clone()) };
         let message = Message { to: ReplicaId(to), body };
-        if self.updates.may_bring_up_to_date(now, to) {
+        if self.updates.may_send_committed(now, to) {
             self.send_register(address.to_owned(), &message);
         }
     }
 
-    /// Sends a message of the register. Without an address it goes where its receiver was last heard.
+    /// Sends a register message. If the address is empty, the address from which the receiver was last heard is used.
     pub(crate) fn send_register(&mut self, address: String, message: &Message) {
         let heard_at = || self.contacts.get(message.to.0).map(|contact| contact.address.clone());
         let address = if address.is_empty() { heard_at() } else { Some(address) };
@@ -177,7 +178,7 @@
         }
         match Message::decode(&envelope.message) {
             Ok(message) => self.register_input(now, Input::Message { from: ReplicaId(from), message }),
-            Err(error) => log::warn!("message of replica {from:016x}: {error}"),
+            Err(error) => log::warn!("failed to decode a register message from replica {from:016x}: {error}"),
         }
     }
 }
--- a/crates/control/src/placer.rs
+++ b/crates/control/src/placer.rs
@@ -1,4 +1,5 @@
-//! The placer's role: taken by the first live node, fenced by an epoch, given orders by a planner for each service.
+//! The placer role. One live node holds it under an epoch, which serves as fencing token; it runs a planner for each service
+//! and sends the planners' orders to the workers.
 
 #[cfg(test)]
 mod tests;
@@ -17,188 +18,199 @@
 use switchhill_protocol::{Expectation, Missing, PeerBody, Residency, ResidentModel};
 use switchhill_registration::{Worker, WorkerState};
 
-/// Age in milliseconds of the contact with a quorum up to which the placer gives orders.
-const CONTACT_FOR_ORDERS: u64 = 450;
+/// Maximum age in milliseconds of the contact with a quorum at which the placer sends orders.
+const MAX_CONTACT_AGE_FOR_ORDERS_MS: u64 = 450;
 
-/// Time in milliseconds that a former placer may go on after another took over: the contact that it relies on is no
-/// older than [`CONTACT_FOR_ORDERS`], and whoever echoed it later knew of the new grant.
-const FORMER_MAY_GO_ON: u64 = 500;
+/// Time in milliseconds for which a former placer may continue to send orders after another node has taken over. The quorum
+/// contact that it relies on is at most [`MAX_CONTACT_AGE_FOR_ORDERS_MS`] old, and every node that echoed a later heartbeat
+/// already knew the new grant.
+const FORMER_PLACER_GRACE_MS: u64 = 500;
 
-/// Silence in milliseconds of the placer after which another node takes the role.
-const TAKE_OVER_AFTER: u64 = 800;
+/// Silence in milliseconds of the placer after which another node takes over the role.
+const TAKEOVER_TIMEOUT_MS: u64 = 800;
 
-/// Time in milliseconds by which the reports of workers may lag.
-const REPORTS_LAG: u64 = 500;
+/// Maximum delay in milliseconds of worker reports.
+const MAX_REPORT_DELAY_MS: u64 = 500;
 
-/// Time in milliseconds after the start in which the present placer may still be heard.
-const LISTEN_FIRST: u64 = 2_000;
+/// Time in milliseconds after the start during which a node waits for heartbeats of the current placer.
+const STARTUP_WAIT_MS: u64 = 2_000;
 
-/// Time in milliseconds between two full lists of workers to the planners.
-const WORKERS_EVERY: u64 = 1_000;
+/// Interval in milliseconds at which the planners get the full list of workers.
+const WORKER_LIST_INTERVAL_MS: u64 = 1_000;
 
-/// Time in milliseconds between two lines of the log on what is missing.
-const ACCOUNT_EVERY: u64 = 5_000;
+/// Interval in milliseconds between log lines with the placement counters.
+const COUNTERS_LOG_INTERVAL_MS: u64 = 5_000;
 
-/// A planner, and its number in this life: numbers of orders begin anew with each planner.
+/// A planner with its number in this run of the process, which is needed because each planner numbers its orders from the
+/// start.
 struct NumberedPlanner {
     number: u64,
     planner: Planner,
 }
 
-/// The role, and what it decides with.
+/// State of the placer role, and the planners while this node holds it.
 pub(crate) struct Placer {
     lease_ms: u64,
     seed: u64,
-    /// The grant of this life.
+    /// Grant that this process has acquired.
     granted: Option<PlacerGrant>,
-    /// The newest grant that is committed.
-    seen: Option<PlacerGrant>,
-    /// Time from which orders may be given.
-    acts_from: u64,
+    /// Newest committed grant.
+    committed: Option<PlacerGrant>,
+    /// Time from which orders may be sent.
+    orders_allowed_from: u64,
     planners: BTreeMap<String, NumberedPlanner>,
     next_planner: u64,
-    /// Orders of the planners that were not sent for want of contact, by service.
-    withheld: Vec<(String, OrderId)>,
+    /// Services and ids of the planners' orders that were not sent because the contact with a quorum was too old.
+    unsent_orders: Vec<(String, OrderId)>,
     residency_version: u64,
-    next_workers: u64,
-    next_account: u64,
+    next_worker_list_at: u64,
+    next_counters_log_at: u64,
 }
 
 impl Placer {
-    /// A node that does not hold the role.
+    /// Creates the state of a node that does not hold the role.
     pub(crate) fn new(settings: &NodeSettings) -> Placer {
         Placer {
             lease_ms: settings.lease_ms,
             seed: settings.seed,
             granted: None,
-            seen: None,
-            acts_from: 0,
+            committed: None,
+            orders_allowed_from: 0,
             planners: BTreeMap::new(),
             next_planner: 0,
-            withheld: Vec::new(),
+            unsent_orders: Vec::new(),
             residency_version: 0,
-            next_workers: 0,
-            next_account: 0,
+            next_worker_list_at: 0,
+            next_counters_log_at: 0,
         }
     }
 
-    /// The epoch under which this node may place, whether or not it has begun.
+    /// Epoch of the role if this node holds it, including the time before it may send orders.
     pub(crate) fn epoch(&self) -> Option<u64> {
         let granted = self.granted.as_ref()?;
-        (self.seen.as_ref() == Some(granted)).then_some(granted.epoch)
+        (self.committed.as_ref() == Some(granted)).then_some(granted.epoch)
     }
 
-    fn acts(&self, now: u64) -> Option<u64> {
-        self.epoch().filter(|_| now >= self.acts_from)
+    /// Epoch of the role if this node holds it and the pause after the takeover is over.
+    fn active_epoch(&self, now: u64) -> Option<u64> {
+        self.epoch().filter(|_| now >= self.orders_allowed_from)
     }
 
-    /// Gives the role up.
+    /// Gives up the role.
     fn resign(&mut self) {
         self.granted = None;
         self.planners.clear();
-        self.withheld.clear();
+        self.unsent_orders.clear();
     }
 }
 
 impl ControlNode {
-    /// A committed value names this placer.
-    pub(crate) fn placer_seen(&mut self, placer: Option<PlacerGrant>) {
+    /// Applies the grant in a committed value; resigns if it is newer than this node's grant.
+    pub(crate) fn placer_committed(&mut self, placer: Option<PlacerGrant>) {
         let newer =
             placer.as_ref().map(|grant| grant.epoch) > self.placer.granted.as_ref().map(|grant| grant.epoch);
         if newer && self.placer.granted.is_some() {
             self.placer.resign();
         }
-        self.placer.seen = placer;
+        self.placer.committed = placer;
     }
 
-    /// This node was granted the role.
-    pub(crate) fn placer_granted(&mut self, now: u64, grant: Option<PlacerGrant>, former: Option<String>) {
-        // A holder that was restarted can't tell whether the pause after its predecessor's orders was over.
-        let may_follow_another = !self.settings.fencing && former.is_some();
-        let taken_over = former.is_some_and(|former| former != self.settings.holder());
+    /// Starts the role after this node's grant has been committed.
+    pub(crate) fn placer_granted(
+        &mut self,
+        now: u64,
+        grant: Option<PlacerGrant>,
+        previous_holder: Option<String>,
+    ) {
+        // A restarted holder cannot tell whether the pause after its predecessor's orders was over.
+        let may_follow_another = !self.settings.fencing && previous_holder.is_some();
+        let taken_over = previous_holder.is_some_and(|previous| previous != self.settings.holder());
         let pause = match taken_over || may_follow_another {
-            // Workers refuse the former placer's orders once they have seen one of the new epoch.
-            true if self.settings.fencing => FORMER_MAY_GO_ON,
-            true => self.placer.lease_ms + FORMER_MAY_GO_ON,
+            // Workers reject the former placer's orders once they have received an order of the new epoch.
+            true if self.settings.fencing => FORMER_PLACER_GRACE_MS,
+            true => self.placer.lease_ms + FORMER_PLACER_GRACE_MS,
             false => 0,
         };
-        log::info!("placer: granted {grant:?}, orders in {pause} ms");
+        log::info!("placer: role granted ({grant:?}), orders may be sent in {pause} ms");
         self.placer.planners.clear();
-        self.placer.withheld.clear();
-        self.placer.acts_from = now + pause;
+        self.placer.unsent_orders.clear();
+        self.placer.orders_allowed_from = now + pause;
         self.placer.granted = grant;
     }
 
-    /// Takes the role if it is free, and lets the planners work if this node holds it.
+    /// Acquires the role if it is free, and runs the planners if this node holds it.
     pub(crate) fn tick_placer(&mut self, now: u64) {
         if !self.has_quorum(now) || !self.caught_up {
             return;
         }
         if self.placer.epoch().is_none() {
-            self.take_placer(now);
+            self.queue_placer_acquisition(now);
             return;
         }
-        if !self.may_order(now) {
+        if !self.may_send_orders(now) {
             return;
         }
         self.ensure_planners(now);
-        for (service, order) in std::mem::take(&mut self.placer.withheld) {
-            self.planner(now, &service, Input::OrderResult { order, answer: OrderAnswer::NoAnswer });
+        for (service, order) in std::mem::take(&mut self.placer.unsent_orders) {
+            self.planner_input(now, &service, Input::OrderResult { order, answer: OrderAnswer::NoAnswer });
         }
-        if now >= self.placer.next_workers {
-            self.tell_planners_of_workers(now);
+        if now >= self.placer.next_worker_list_at {
+            self.send_workers_to_planners(now);
         }
         self.each_planner(now, |_| Some(Input::Tick));
-        self.log_account(now);
+        self.log_counters(now);
     }
 
-    /// Logs what became of requests for models that stand nowhere, where there were any.
-    fn log_account(&mut self, now: u64) {
-        if now < self.placer.next_account {
+    /// Logs the outcomes of requests for models that were not resident anywhere, if there were any.
+    fn log_counters(&mut self, now: u64) {
+        if now < self.placer.next_counters_log_at {
             return;
         }
-        self.placer.next_account = now + ACCOUNT_EVERY;
+        self.placer.next_counters_log_at = now + COUNTERS_LOG_INTERVAL_MS;
         for (service, numbered) in &mut self.placer.planners {
-            let account = numbered.planner.take_counters();
-            if !account.is_empty() {
-                log::info!("placement of {service}: {account}");
+            let counters = numbered.planner.take_counters();
+            if !counters.is_empty() {
+                log::info!("placement of {service}: {counters}");
             }
         }
     }
 
-    /// Whether this node may give orders: its role has begun, and it was in contact with a quorum a moment ago.
-    fn may_order(&self, now: u64) -> bool {
-        self.placer.acts(now).is_some() && self.caught_up && self.has_quorum_within(now, CONTACT_FOR_ORDERS)
+    /// Whether this node may send orders: it holds the role, the pause is over, and its contact with a quorum is recent.
+    fn may_send_orders(&self, now: u64) -> bool {
+        self.placer.active_epoch(now).is_some()
+            && self.caught_up
+            && self.has_quorum_within(now, MAX_CONTACT_AGE_FOR_ORDERS_MS)
     }
 
-    fn take_placer(&mut self, now: u64) {
-        let pending = self.jobs.has(|job| matches!(job, Job::TakePlacer { .. }));
-        if !pending && self.may_take_placer(now) {
-            self.jobs.push(Job::TakePlacer { grant: None, former: None });
+    fn queue_placer_acquisition(&mut self, now: u64) {
+        let pending = self.jobs.has(|job| matches!(job, Job::AcquirePlacerRole { .. }));
+        if !pending && self.may_acquire_placer_role(now) {
+            self.jobs.push(Job::AcquirePlacerRole { grant: None, previous_holder: None });
         }
     }
 
-    /// The holder itself after a restart; else the first node in contact, once the holder is silent.
-    fn may_take_placer(&self, now: u64) -> bool {
+    /// Whether this node may acquire the role: the holder itself after a restart, otherwise the node with the lowest id in
+    /// contact once the holder is silent.
+    fn may_acquire_placer_role(&self, now: u64) -> bool {
         let first = self.contacts.in_contact(now).min() == Some(self.settings.replica_id);
-        match &self.placer.seen {
+        match &self.placer.committed {
             Some(grant) if grant.holder == self.settings.holder() => true,
             Some(grant) => {
-                first && now >= self.started_at + LISTEN_FIRST && !self.is_heard(now, &grant.holder)
+                first && now >= self.started_at + STARTUP_WAIT_MS && !self.is_heard(now, &grant.holder)
             }
             None => first,
         }
     }
 
-    /// Whether the machine that holds the role was heard a short time ago.
+    /// Whether a heartbeat of the holder arrived recently.
     fn is_heard(&self, now: u64, holder: &str) -> bool {
-        let heard = |contact: &Contact| now < contact.heard_at + TAKE_OVER_AFTER;
+        let heard = |contact: &Contact| now < contact.heard_at + TAKEOVER_TIMEOUT_MS;
         self.contacts.iter().any(|(_, contact)| contact.address == holder && heard(contact))
     }
 
-    /// The configuration changed: engines may have.
+    /// Updates the planners after a change of the configuration, which may have changed engines.
     pub(crate) fn engines_changed(&mut self, now: u64) {
-        if self.placer.acts(now).is_some() {
+        if self.placer.active_epoch(now).is_some() {
             self.ensure_planners(now);
         }
     }
@@ -206,8 +218,8 @@
     fn ensure_planners(&mut self, now: u64) {
         let Some(document) = self.state.document().cloned() else { return };
         let engines = engines(&document);
-        // Reports lag: those asked for before this time may not show a predecessor's last order.
-        let settings = PlannerSettings { watch_ms: REPORTS_LAG, ..self.settings.planner.clone() };
+        // Worker reports are delayed: one requested before this time may not contain the last order of the previous placer.
+        let settings = PlannerSettings { watch_ms: MAX_REPORT_DELAY_MS, ..self.settings.planner.clone() };
         self.placer.planners.retain(|service, _| engines.contains_key(service));
         for (service, engine) in engines {
             match self.placer.planners.get_mut(&service) {
@@ -217,21 +229,21 @@
                     self.placer.next_planner += 1;
                     let numbered = NumberedPlanner { number: self.placer.next_planner, planner };
                     self.placer.planners.insert(service, numbered);
-                    self.placer.next_workers = now;
+                    self.placer.next_worker_list_at = now;
                 }
             }
         }
     }
 
-    /// The worker table changed.
+    /// Passes a changed worker table to the planners.
     pub(crate) fn placer_workers_changed(&mut self, now: u64) {
-        if self.placer.acts(now).is_some() {
-            self.tell_planners_of_workers(now);
+        if self.placer.active_epoch(now).is_some() {
+            self.send_workers_to_planners(now);
         }
     }
 
-    fn tell_planners_of_workers(&mut self, now: u64) {
-        self.placer.next_workers = now + WORKERS_EVERY;
+    fn send_workers_to_planners(&mut self, now: u64) {
+        self.placer.next_worker_list_at = now + WORKER_LIST_INTERVAL_MS;
         let mut workers: BTreeMap<String, Vec<WorkerView>> = BTreeMap::new();
         for worker in self.state.workers().iter() {
             workers.entry(worker.service.clone()).or_default().push(worker_view(worker));
@@ -239,21 +251,21 @@
         self.each_planner(now, |service| Some(Input::Workers(workers.remove(service).unwrap_or_default())));
     }
 
-    /// Demand and load over the fleet.
+    /// Passes the demand and load of the fleet to the planners.
     pub(crate) fn placer_demand(&mut self, now: u64, total: &LoadTable) {
-        if self.placer.acts(now).is_none() {
+        if self.placer.active_epoch(now).is_none() {
             return;
         }
         for entry in total.demand.values() {
             let input = Input::Demand {
                 model: entry.model.clone(),
-                adapter: some_name(&entry.adapter),
+                adapter: non_empty(&entry.adapter),
                 requests_per_s: entry.requests_per_s,
                 latency_target_ms: entry.aim_ms,
                 outstanding: entry.outstanding,
                 waiting: 0,
             };
-            self.planner(now, &entry.service.clone(), input);
+            self.planner_input(now, &entry.service.clone(), input);
         }
         for (id, outstanding) in &total.loads {
             let Some(worker) = self.state.workers().get(id) else { continue };
@@ -266,42 +278,43 @@
                 kv_total: 0,
             };
             let service = worker.service.clone();
-            self.planner(now, &service, input);
+            self.planner_input(now, &service, input);
         }
     }
 
-    /// A model is missing: the placer acts, any other node passes it on to the placer.
-    pub(crate) fn missing(&mut self, now: u64, missing: Missing, may_pass_on: bool) {
-        if self.may_order(now) {
+    /// Handles a request for a model that is not resident: the placer passes it to the planner, any other node forwards it to
+    /// the placer.
+    pub(crate) fn model_missing(&mut self, now: u64, missing: Missing, may_forward: bool) {
+        if self.may_send_orders(now) {
             let input = Input::Missing {
                 model: missing.model.clone(),
-                adapter: some_name(&missing.adapter),
+                adapter: non_empty(&missing.adapter),
                 waiting: missing.waiting,
                 latency_target_ms: missing.aim_ms,
             };
-            self.planner(now, &missing.service, input);
-        } else if may_pass_on {
-            self.pass_on_missing(missing);
+            self.planner_input(now, &missing.service, input);
+        } else if may_forward {
+            self.forward_missing(missing);
         }
     }
 
-    fn pass_on_missing(&mut self, missing: Missing) {
-        let Some(holder) = self.placer.seen.as_ref().map(|grant| grant.holder.clone()) else { return };
+    fn forward_missing(&mut self, missing: Missing) {
+        let Some(holder) = self.placer.committed.as_ref().map(|grant| grant.holder.clone()) else { return };
         if self.contacts.iter().any(|(_, contact)| contact.address == holder) {
             self.send_peer(holder, PeerBody::Missing(missing));
         }
     }
 
-    /// An order was answered, or not.
+    /// Passes the answer to an order, or its absence, to the planner.
     pub(crate) fn order_answered(&mut self, now: u64, ticket: &OrderTicket, answer: OrderAnswer) {
-        let present = self.placer.planners.get(&ticket.service).map(|planner| planner.number);
-        if self.placer.epoch() == Some(ticket.epoch) && present == Some(ticket.planner) {
-            self.planner(now, &ticket.service, Input::OrderResult { order: ticket.order, answer });
+        let current = self.placer.planners.get(&ticket.service).map(|planner| planner.number);
+        if self.placer.epoch() == Some(ticket.epoch) && current == Some(ticket.planner) {
+            self.planner_input(now, &ticket.service, Input::OrderResult { order: ticket.order, answer });
         }
     }
 
-    /// A worker told what it holds.
-    pub(crate) fn reported(&mut self, now: u64, report: WorkerReport) {
+    /// Passes a worker's report to the planner.
+    pub(crate) fn report_received(&mut self, now: u64, report: WorkerReport) {
         if self.placer.epoch() != Some(report.call.epoch) {
             return;
         }
@@ -315,20 +328,20 @@
         };
         let input =
             Input::Report { worker, busy: report.busy, sequence: report.sequence, models: report.models };
-        self.planner(now, &report.call.service, load);
-        self.planner(now, &report.call.service, input);
+        self.planner_input(now, &report.call.service, load);
+        self.planner_input(now, &report.call.service, input);
     }
 
     fn each_planner(&mut self, now: u64, mut input: impl FnMut(&str) -> Option<Input>) {
         let services: Vec<String> = self.placer.planners.keys().cloned().collect();
         for service in services {
             if let Some(input) = input(&service) {
-                self.planner(now, &service, input);
+                self.planner_input(now, &service, input);
             }
         }
     }
 
-    fn planner(&mut self, now: u64, service: &str, input: Input) {
+    fn planner_input(&mut self, now: u64, service: &str, input: Input) {
         let Some(numbered) = self.placer.planners.get_mut(service) else { return };
         let number = numbered.number;
         for output in numbered.planner.handle(now, input) {
@@ -339,9 +352,10 @@
     fn planner_output(&mut self, now: u64, service: &str, planner: u64, output: PlannerOutput) {
         let Some(epoch) = self.placer.epoch() else { return };
         match output {
-            // Planners go on with each answer and report: an order without contact counts as one without an answer.
-            PlannerOutput::Order { order, .. } if !self.may_order(now) => {
-                self.placer.withheld.push((service.to_owned(), order));
+            // Planners also emit orders on answers and reports. An order that cannot be sent for lack of contact is treated
+            // as unanswered.
+            PlannerOutput::Order { order, .. } if !self.may_send_orders(now) => {
+                self.placer.unsent_orders.push((service.to_owned(), order));
             }
             PlannerOutput::Order { order, worker, address, operation, model, adapter, if_revision } => {
                 let call = OrderCall {
@@ -354,18 +368,18 @@
                     if_revision,
                     holder: self.settings.holder().to_owned(),
                 };
-                self.out.push(Output::Order(call));
+                self.outputs.push(Output::Order(call));
             }
             PlannerOutput::RequestReport { worker, address } => {
                 let call = ReportCall { service: service.to_owned(), epoch, worker: worker.0, address };
-                self.out.push(Output::RequestReport(call));
+                self.outputs.push(Output::RequestReport(call));
             }
             PlannerOutput::Resident { worker, models } => self.planner_resident(now, epoch, worker, models),
             PlannerOutput::ReadyEstimate { model, adapter, ready_in_ms } => {
                 let service = service.to_owned();
                 let adapter = adapter.unwrap_or_default();
                 let expectation = Expectation { service, model, adapter, ready_in_ms };
-                self.expectation(expectation.clone());
+                self.queue_expectation(expectation.clone());
                 self.send_all_peers(now, PeerBody::Expectation(expectation));
             }
             PlannerOutput::Superseded => self.placer.resign(),
@@ -382,12 +396,12 @@
             version: self.placer.residency_version,
             models: models.collect(),
         };
-        self.residency(&residency);
+        self.apply_residency(&residency);
         self.send_all_peers(now, PeerBody::Residency(residency));
     }
 }
 
-fn some_name(name: &str) -> Option<String> {
+fn non_empty(name: &str) -> Option<String> {
     (!name.is_empty()).then(|| name.to_owned())
 }
 
--- a/crates/control/src/subscribers.rs
+++ b/crates/control/src/subscribers.rs
@@ -1,4 +1,4 @@
-//! Agents that subscribe to this node.
+//! Connections of the agents that subscribe to this node, and the messages sent to them.
 
 use crate::input::{Output, SubscriberId};
 use crate::node::ControlNode;
@@ -7,36 +7,36 @@
 use switchhill_protocol::{Downstream, DownstreamBody, Fetch, Hello, Status};
 use switchhill_protocol::{Upstream, UpstreamBody};
 
-/// Time in milliseconds between two statuses.
-const STATUS_EVERY: u64 = 250;
+/// Interval in milliseconds between two status messages.
+const STATUS_INTERVAL_MS: u64 = 250;
 
-/// Silence in milliseconds after which a subscriber's connection is dropped.
-const SILENT_AFTER: u64 = 3_000;
+/// Silence in milliseconds after which a subscriber's connection is closed.
+const SUBSCRIBER_TIMEOUT_MS: u64 = 3_000;
 
-/// One subscriber.
+/// State of one subscriber's connection.
 #[derive(Debug)]
 pub(crate) struct Subscriber {
     publisher: Publisher,
-    /// Name of its machine.
+    /// Name of the subscriber's machine.
     pub(crate) node: String,
     heard_at: u64,
-    /// Whether it was sent all that this node knew when it served.
-    served: bool,
-    /// Its load and demand, with the time of its last summary.
+    /// Whether it has been sent the complete state, which requires that this node serves.
+    initial_state_sent: bool,
+    /// Time of its last summary, and the load and demand that it reported.
     pub(crate) summary: Option<(u64, LoadTable)>,
-    /// Whether it was told all load over the fleet since this node became its home.
-    knows_loads: bool,
+    /// Whether it has been sent the complete load of the fleet since this node became its home.
+    has_full_loads: bool,
 }
 
-/// All subscribers.
+/// All connected subscribers.
 #[derive(Debug, Default)]
 pub(crate) struct Subscribers {
     connected: BTreeMap<SubscriberId, Subscriber>,
-    next_status: u64,
+    next_status_at: u64,
 }
 
 impl Subscribers {
-    /// Gatekeepers whose home this node is.
+    /// Number of gatekeepers whose home is this node.
     pub(crate) fn home_count(&self) -> u32 {
         let homes = self.connected.values().filter(|subscriber| subscriber.publisher.home);
         let names: std::collections::BTreeSet<&str> =
@@ -44,30 +44,30 @@
         names.len() as u32
     }
 
-    /// A connection ended.
-    pub(crate) fn gone(&mut self, id: SubscriberId) {
+    /// Removes a subscriber whose connection was closed.
+    pub(crate) fn remove(&mut self, id: SubscriberId) {
         self.connected.remove(&id);
     }
 
-    /// Subscribers whose home this node is.
+    /// Subscribers whose home is this node.
     pub(crate) fn homes(&self) -> impl Iterator<Item = (SubscriberId, &Subscriber)> {
         self.connected.iter().filter(|(_, subscriber)| subscriber.publisher.home).map(|(id, s)| (*id, s))
     }
 
-    /// Subscribers whose home another node is.
+    /// Subscribers whose home is another node.
     pub(crate) fn others(&self) -> impl Iterator<Item = SubscriberId> + '_ {
         self.connected.iter().filter(|(_, subscriber)| !subscriber.publisher.home).map(|(id, _)| *id)
     }
 
-    /// Home subscribers that are told load now, and whether it is the first time.
-    pub(crate) fn homes_for_loads(&mut self) -> Vec<(SubscriberId, bool)> {
+    /// Returns the home subscribers with whether they still need the complete load, and marks all as having it.
+    pub(crate) fn start_load_updates(&mut self) -> Vec<(SubscriberId, bool)> {
         let homes = self.connected.iter_mut().filter(|(_, subscriber)| subscriber.publisher.home);
-        homes.map(|(id, s)| (*id, !std::mem::replace(&mut s.knows_loads, true))).collect()
+        homes.map(|(id, s)| (*id, !std::mem::replace(&mut s.has_full_loads, true))).collect()
     }
 }
 
 impl ControlNode {
-    /// Takes in a message of a subscriber.
+    /// Handles a message from a subscriber.
     pub(crate) fn subscriber_message(&mut self, now: u64, id: SubscriberId, message: Upstream) {
         if let Some(subscriber) = self.subscribers.connected.get_mut(&id) {
             subscriber.heard_at = now;
@@ -75,7 +75,7 @@
         match message.body {
             Some(UpstreamBody::Hello(hello)) => self.hello(now, id, hello),
             Some(UpstreamBody::Fetch(fetch)) => self.fetch(now, id, &fetch),
-            Some(UpstreamBody::Missing(missing)) => self.missing(now, missing, true),
+            Some(UpstreamBody::Missing(missing)) => self.model_missing(now, missing, true),
             Some(UpstreamBody::Summary(summary)) => {
                 if let Some(subscriber) = self.subscribers.connected.get_mut(&id) {
                     let (heard_at, table) = subscriber.summary.get_or_insert_with(Default::default);
@@ -92,10 +92,10 @@
         if let Some(subscriber) = self.subscribers.connected.get_mut(&id) {
             let becomes_home = hello.home && !subscriber.publisher.home;
             subscriber.publisher.home = hello.home;
-            subscriber.knows_loads &= hello.home;
+            subscriber.has_full_loads &= hello.home;
             subscriber.publisher.sent_revision = subscriber.publisher.sent_revision.max(hello.revision);
             if becomes_home {
-                self.announce_to_new_home(id);
+                self.send_queued_to_new_home(id);
             }
             self.send_configuration(now, id, None);
             return;
@@ -105,23 +105,23 @@
             publisher,
             node: hello.node,
             heard_at: now,
-            served: false,
+            initial_state_sent: false,
             summary: None,
-            knows_loads: false,
+            has_full_loads: false,
         };
         self.subscribers.connected.insert(id, subscriber);
         let status = self.status(now);
         self.send_subscriber(id, status);
-        self.serve_new(now, id);
+        self.send_initial_state(now, id);
     }
 
-    /// Sends a subscriber what the node holds, once it may speak for the system.
-    fn serve_new(&mut self, now: u64, id: SubscriberId) {
+    /// Sends a new subscriber the complete state if this node serves.
+    fn send_initial_state(&mut self, now: u64, id: SubscriberId) {
         if !self.serves(now) {
             return;
         }
         if let Some(subscriber) = self.subscribers.connected.get_mut(&id) {
-            subscriber.served = true;
+            subscriber.initial_state_sent = true;
         }
         self.send_configuration(now, id, None);
         for message in self.state.whole() {
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Answers with what the node holds; out of contact not at all, so that the subscriber asks elsewhere.
+    /// Answers a fetch with the requested state. A node that does not serve gives no answer, so that the subscriber asks
+    /// another node.
     fn fetch(&mut self, now: u64, id: SubscriberId, fetch: &Fetch) {
         if !self.serves(now) {
             return;
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Sends the configuration to a subscriber whose home this node is, if it lacks it and the node may speak for the system.
+    /// Sends the configuration to a home subscriber that does not have it yet, if this node serves.
     fn send_configuration(&mut self, now: u64, id: SubscriberId, change: Option<&Published>) {
         if !self.serves(now) {
             return;
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Sends a new configuration: to home subscribers as a change, to the others its revision.
+    /// Publishes a new configuration: home subscribers get the change, all subscribers the new revision in a status.
     pub(crate) fn publish_configuration(&mut self, now: u64, change: Option<&Published>) {
         let ids: Vec<SubscriberId> = self.subscribers.connected.keys().copied().collect();
         let status = self.status(now);
@@ -180,7 +181,7 @@
         let core = self.core_addresses();
         let status = Status {
             quorum: self.serves(now),
-            warm: self.warm,
+            warm: self.workers_complete,
             revision: self.state.revision(),
             workers_digest: self.state.workers().digest(),
             gatekeepers: self.load.gatekeepers(now, self.subscribers.home_count()),
@@ -192,28 +193,30 @@
 
     /// Sends the status to all subscribers.
     pub(crate) fn publish_status(&mut self, now: u64) {
-        self.subscribers.next_status = now + STATUS_EVERY;
-        self.announce_all(now);
+        self.subscribers.next_status_at = now + STATUS_INTERVAL_MS;
+        self.flush_announcements(now);
         let status = self.status(now);
         self.publish(&status);
     }
 
-    /// Sends statuses when they are due and drops silent subscribers.
+    /// Sends the initial state to subscribers that lack it and status messages when due, and closes silent connections.
     pub(crate) fn tick_subscribers(&mut self, now: u64) {
-        let unserved = self.subscribers.connected.iter().filter(|(_, subscriber)| !subscriber.served);
-        let unserved: Vec<SubscriberId> = unserved.map(|(id, _)| *id).collect();
-        for id in unserved {
-            self.serve_new(now, id);
+        let without_state =
+            self.subscribers.connected.iter().filter(|(_, subscriber)| !subscriber.initial_state_sent);
+        let without_state: Vec<SubscriberId> = without_state.map(|(id, _)| *id).collect();
+        for id in without_state {
+            self.send_initial_state(now, id);
         }
-        if now < self.subscribers.next_status {
+        if now < self.subscribers.next_status_at {
             return;
         }
         self.publish_status(now);
-        let silent = self.subscribers.connected.iter().filter(|(_, s)| now >= s.heard_at + SILENT_AFTER);
+        let silent =
+            self.subscribers.connected.iter().filter(|(_, s)| now >= s.heard_at + SUBSCRIBER_TIMEOUT_MS);
         let silent: Vec<SubscriberId> = silent.map(|(id, _)| *id).collect();
         for id in silent {
-            self.subscribers.gone(id);
-            self.out.push(Output::CloseSubscriber(id));
+            self.subscribers.remove(id);
+            self.outputs.push(Output::CloseSubscriber(id));
         }
     }
 }
--- a/crates/control/src/unreachable.rs
+++ b/crates/control/src/unreachable.rs
@@ -1,8 +1,9 @@
-//! Workers that gatekeepers could not reach.
+//! Suspicion of workers that several gatekeepers report as unreachable.
 //!
-//! A worker that has crashed says nothing, and its missing heartbeats show only after seconds. The gatekeepers know at
-//! once: its machine refuses their connections, or does not answer them. Each sees little alone, so they tell the core,
-//! and a worker that several machines found unreachable within a short time is suspected until its next heartbeat.
+//! The missing heartbeats of a crashed worker become apparent only after seconds. The gatekeepers notice the crash sooner:
+//! the worker's machine refuses their connections or does not answer them. A single gatekeeper is not reliable evidence,
+//! so each reports to the core, and a worker that several machines found unreachable within a short time is suspected
+//! until its next heartbeat.
 
 #[cfg(test)]
 mod tests;
@@ -11,66 +12,69 @@
 use std::collections::{BTreeMap, BTreeSet};
 use switchhill_protocol::{PeerBody, Unreachable};
 
-/// Time in milliseconds within which the reports of several gatekeepers count together.
-const COUNTED_FOR: u64 = 1_500;
-/// Gatekeepers that must have been refused: one alone may hold a wrong address, or be cut off by a reset.
-const REFUSED_AT: usize = 2;
-/// Gatekeepers that must have been left without an answer: a full queue of new connections also drops some.
-const UNANSWERED_AT: usize = 3;
-/// At most one of so many workers of a service is suspected for reports at a time: what makes more of them unreachable is
-/// likelier a fault of the network or of the gatekeepers.
+/// Window in milliseconds in which reports of different gatekeepers are counted together.
+const REPORT_WINDOW_MS: u64 = 1_500;
+/// Number of gatekeepers with refused connections that makes a worker suspected. A single one may have a wrong address or
+/// may have been cut off by a reset.
+const REFUSED_THRESHOLD: usize = 2;
+/// Number of gatekeepers with refused or unanswered connections that makes a worker suspected. It is higher because a full
+/// accept queue also drops connection attempts.
+const UNANSWERED_THRESHOLD: usize = 3;
+/// At most one in this number of workers of a service is suspected because of reports at a time. If more are unreachable,
+/// a fault of the network or of the gatekeepers is more likely.
 const WORKERS_PER_SUSPECTED: usize = 3;
 
-/// One gatekeeper's newest report of a worker.
+/// Newest report of one gatekeeper about a worker.
 #[derive(Debug, Clone, Copy)]
 struct Report {
     at: u64,
     refused: bool,
 }
 
-/// Reports that still count.
+/// Reports within the window, and recent suspicions.
 #[derive(Debug, Default)]
 pub(crate) struct UnreachableWorkers {
-    /// By worker and gatekeeper.
+    /// Reports by worker, then by gatekeeper.
     reports: BTreeMap<String, BTreeMap<String, Report>>,
-    /// When each worker was last suspected for reports.
+    /// Time at which each worker was last suspected because of reports.
     suspected_at: BTreeMap<String, u64>,
 }
 
 impl UnreachableWorkers {
-    /// Takes a report in and tells whether the worker is to be suspected.
-    fn note(&mut self, now: u64, report: &Unreachable) -> bool {
-        self.forget_old(now);
-        let of_worker = self.reports.entry(report.worker.clone()).or_default();
-        of_worker.insert(report.node.clone(), Report { at: now, refused: report.refused });
-        let refused = of_worker.values().filter(|report| report.refused).count();
-        refused >= REFUSED_AT || of_worker.len() >= UNANSWERED_AT
+    /// Records a report and returns whether the number of reports suffices to suspect the worker.
+    fn record(&mut self, now: u64, report: &Unreachable) -> bool {
+        self.remove_expired(now);
+        let worker_reports = self.reports.entry(report.worker.clone()).or_default();
+        worker_reports.insert(report.node.clone(), Report { at: now, refused: report.refused });
+        let refused = worker_reports.values().filter(|report| report.refused).count();
+        refused >= REFUSED_THRESHOLD || worker_reports.len() >= UNANSWERED_THRESHOLD
     }
 
-    fn forget_old(&mut self, now: u64) {
-        for of_worker in self.reports.values_mut() {
-            of_worker.retain(|_, report| now.saturating_sub(report.at) < COUNTED_FOR);
+    fn remove_expired(&mut self, now: u64) {
+        for worker_reports in self.reports.values_mut() {
+            worker_reports.retain(|_, report| now.saturating_sub(report.at) < REPORT_WINDOW_MS);
         }
-        self.reports.retain(|_, of_worker| !of_worker.is_empty());
-        self.suspected_at.retain(|_, at| now.saturating_sub(*at) < COUNTED_FOR);
+        self.reports.retain(|_, worker_reports| !worker_reports.is_empty());
+        self.suspected_at.retain(|_, at| now.saturating_sub(*at) < REPORT_WINDOW_MS);
     }
 }
 
 impl ControlNode {
-    /// A gatekeeper could not reach a worker; `from_gatekeeper` tells whether it said so itself or by another core node.
+    /// Handles the report of a gatekeeper that could not reach a worker. `from_gatekeeper` tells whether the gatekeeper
+    /// sent it directly or another core node forwarded it.
     pub(crate) fn unreachable(&mut self, now: u64, report: &Unreachable, from_gatekeeper: bool) {
         if from_gatekeeper {
             self.send_all_peers(now, PeerBody::Unreachable(report.clone()));
         }
-        let is_enough = self.unreachable_workers.note(now, report);
-        // The nodes count alike; the one that hears the last report acts.
+        let is_enough = self.unreachable_workers.record(now, report);
+        // All nodes count the same reports; the one that receives the deciding report from its gatekeeper acts.
         if !is_enough || !from_gatekeeper || !self.serves(now) || !self.may_suspect_one_more(&report.worker) {
             return;
         }
         if let Some(suspected) = self.state.workers_mut().suspect(now, &report.worker) {
             self.unreachable_workers.reports.remove(&report.worker);
             self.unreachable_workers.suspected_at.insert(report.worker.clone(), now);
-            self.tell_of_workers(now, vec![suspected]);
+            self.publish_workers(now, vec![suspected]);
         }
     }
 
--- a/crates/control/src/unreachable/tests.rs
+++ b/crates/control/src/unreachable/tests.rs
@@ -1,26 +1,26 @@
-//! When gatekeepers' reports make a worker suspected, and when not.
+//! Tests of which reports of gatekeepers make a worker suspected.
 
-use super::COUNTED_FOR;
+use super::REPORT_WINDOW_MS;
 use crate::input::{Call, CallId, Input, SubscriberId};
 use crate::lone_node_tests::{lone_node, run};
 use crate::node::ControlNode;
 use googletest::prelude::*;
 use switchhill_protocol::{Hello, Unreachable, Upstream, UpstreamBody};
 
-/// When the node of these tests serves and knows its workers.
+/// Time at which the node serves and its workers have registered.
 const SERVING: u64 = 3_000;
 
-/// A node that serves, with so many workers of one service, which have just beaten.
+/// A serving node with this number of workers of one service, each of which has just sent a heartbeat.
 fn node_with_workers(count: usize) -> ControlNode {
     let mut node = lone_node("10.0.0.1:7000");
     run(&mut node, 0, SERVING);
     for worker in 0..count {
-        beat(&mut node, SERVING, worker, 1);
+        send_heartbeat(&mut node, SERVING, worker, 1);
     }
     node
 }
 
-fn beat(node: &mut ControlNode, now: u64, worker: usize, sequence: u64) {
+fn send_heartbeat(node: &mut ControlNode, now: u64, worker: usize, sequence: u64) {
     let body = format!(
         r#"{{"service":"s","address":"10.0.1.{worker}:80","zone":"z","revision":"v1","slots":4,"state":"ready",
         "coldRemainingMs":0,"sequence":{sequence}}}"#
@@ -29,13 +29,13 @@
     node.handle(now, Input::Call(CallId(worker as u64), call));
 }
 
-/// A gatekeeper's report that it could not reach a worker.
+/// Delivers a gatekeeper's report that it could not reach a worker.
 fn report(node: &mut ControlNode, now: u64, gatekeeper: u64, worker: usize, refused: bool) {
     let name = format!("edge-{gatekeeper}");
-    let told = |body| Input::Subscriber(SubscriberId(gatekeeper), Upstream { body: Some(body) });
-    node.handle(now, told(UpstreamBody::Hello(Hello { node: name.clone(), ..Hello::default() })));
+    let message = |body| Input::Subscriber(SubscriberId(gatekeeper), Upstream { body: Some(body) });
+    node.handle(now, message(UpstreamBody::Hello(Hello { node: name.clone(), ..Hello::default() })));
     let report = Unreachable { node: name, worker: format!("w{worker}"), refused };
-    node.handle(now, told(UpstreamBody::Unreachable(report)));
+    node.handle(now, message(UpstreamBody::Unreachable(report)));
 }
 
 fn is_suspected(node: &ControlNode, worker: usize) -> bool {
@@ -43,28 +43,28 @@
 }
 
 #[gtest]
-fn two_gatekeepers_that_were_refused_make_a_worker_suspected_until_it_beats() {
+fn two_refused_gatekeepers_make_a_worker_suspected_until_its_next_heartbeat() {
     let mut node = node_with_workers(6);
     report(&mut node, SERVING, 1, 0, true);
     report(&mut node, SERVING + 100, 1, 0, true);
-    expect_false!(is_suspected(&node, 0), "one gatekeeper, however often, is not enough");
+    expect_false!(is_suspected(&node, 0), "repeated reports of one gatekeeper do not suffice");
     report(&mut node, SERVING + 200, 2, 0, true);
     expect_true!(is_suspected(&node, 0));
     expect_false!(is_suspected(&node, 1));
-    beat(&mut node, SERVING + 300, 0, 2);
+    send_heartbeat(&mut node, SERVING + 300, 0, 2);
     expect_false!(is_suspected(&node, 0));
 }
 
 #[gtest]
-fn reports_that_lie_too_far_apart_do_not_count_together() {
+fn reports_further_apart_than_the_window_are_not_counted_together() {
     let mut node = node_with_workers(6);
     report(&mut node, SERVING, 1, 0, true);
-    report(&mut node, SERVING + COUNTED_FOR, 2, 0, true);
+    report(&mut node, SERVING + REPORT_WINDOW_MS, 2, 0, true);
     expect_false!(is_suspected(&node, 0));
 }
 
 #[gtest]
-fn connections_without_an_answer_need_three_gatekeepers() {
+fn unanswered_connections_need_reports_of_three_gatekeepers() {
     let mut node = node_with_workers(6);
     report(&mut node, SERVING, 1, 0, false);
     report(&mut node, SERVING, 2, 0, false);
@@ -74,7 +74,7 @@
 }
 
 #[gtest]
-fn no_more_than_a_third_of_a_service_is_suspected_for_reports() {
+fn at_most_a_third_of_a_service_is_suspected_because_of_reports() {
     let mut node = node_with_workers(7);
     for worker in 0..7 {
         report(&mut node, SERVING, 1, worker, true);
@@ -85,7 +85,7 @@
 }
 
 #[gtest]
-fn reports_of_workers_that_nobody_knows_change_nothing() {
+fn reports_about_unknown_workers_have_no_effect() {
     let mut node = node_with_workers(6);
     report(&mut node, SERVING, 1, 99, true);
     report(&mut node, SERVING, 2, 99, true);
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers, and the worker table that all core nodes share.
+//! Worker heartbeats, and the replication of the worker table among the core nodes.
 
 use crate::input::{Answer, CallId};
 use crate::node::ControlNode;
@@ -9,25 +9,25 @@
 use switchhill_register::ReplicaId;
 use switchhill_registration::{HeardBeat, HeardOutcome, Heartbeat, Merge, Worker, WorkerState};
 
-/// Time in milliseconds in which a majority must have a worker's end before it is acknowledged.
-const ACKNOWLEDGE_WITHIN: u64 = 700;
+/// Time limit in milliseconds for a majority to confirm a worker's draining or termination before the call fails.
+const MAJORITY_TIMEOUT_MS: u64 = 700;
 
-/// Time in milliseconds after which an update that a peer has not acknowledged is sent to it again.
-const RESEND_AFTER: u64 = 150;
+/// Interval in milliseconds at which an update is sent again to peers that have not acknowledged it.
+const RESEND_INTERVAL_MS: u64 = 150;
 
-/// Time in milliseconds between two messages about workers that were heard.
-const HEARD_EVERY: u64 = 300;
+/// Interval in milliseconds at which the other core nodes are informed of received heartbeats.
+const HEARD_INTERVAL_MS: u64 = 300;
 
-/// How long two worker tables may differ, in milliseconds, before the whole one is sent.
-const DIFFER_FOR: u64 = 500;
+/// Time in milliseconds for which two worker tables may differ before the complete table is sent.
+const MAX_DIFFERENCE_MS: u64 = 500;
 
-/// Time in milliseconds between two repairs of the same node.
-const REPAIR_EVERY: u64 = 400;
+/// Minimum interval in milliseconds between repairs of the same node.
+const REPAIR_INTERVAL_MS: u64 = 400;
 
-/// Worker heartbeats after which a table that started empty is whole, in tenths.
-const WARM_AFTER_TENTHS: u64 = 15;
+/// Time after the start, in tenths of the worker heartbeat interval, after which an initially empty table is complete.
+const COMPLETE_AFTER_TENTHS: u64 = 15;
 
-/// A worker's end that waits for a majority.
+/// A draining or terminated worker whose new state is not yet confirmed by a majority.
 #[derive(Debug)]
 struct PendingUpdate {
     call: CallId,
@@ -37,46 +37,46 @@
     resend_at: u64,
 }
 
-/// Updates of the worker table that are under way.
+/// Unconfirmed updates of the worker table, and the state of its replication to other nodes.
 #[derive(Debug, Default)]
 pub(crate) struct PendingUpdates {
     next_number: u64,
     pending: BTreeMap<u64, PendingUpdate>,
-    next_heard: u64,
+    next_heard_at: u64,
     heard_marker: u64,
     differ_since: BTreeMap<u64, u64>,
     repaired_at: BTreeMap<u64, u64>,
-    brought_up_to_date_at: BTreeMap<u64, u64>,
-    /// Workers whose end a majority has, with the state that it has.
-    settled: BTreeMap<String, WorkerState>,
+    committed_sent_at: BTreeMap<u64, u64>,
+    /// Draining and terminated workers whose state a majority has confirmed, with that state.
+    confirmed: BTreeMap<String, WorkerState>,
 }
 
 impl PendingUpdates {
-    /// No update yet. Numbers begin at the random number of the life, so that an acknowledgement of an update of an earlier
-    /// life, which a peer may still send after a restart, is never taken for one of this life.
-    pub(crate) fn new(life: u64) -> PendingUpdates {
-        PendingUpdates { next_number: life, ..PendingUpdates::default() }
+    /// Creates the state without pending updates. Update numbers start at the random number of the incarnation, so that a
+    /// late acknowledgement of an update from before a restart never matches an update of this process.
+    pub(crate) fn new(incarnation: u64) -> PendingUpdates {
+        PendingUpdates { next_number: incarnation, ..PendingUpdates::default() }
     }
 
-    /// The number of the next update; never 0, which asks for no acknowledgement.
+    /// Returns the number of the next update. It is never 0, which stands for an update without acknowledgement.
     fn take_number(&mut self) -> u64 {
         self.next_number = self.next_number.wrapping_add(1).max(1);
         self.next_number
     }
 
-    /// Whether a node may be sent the whole worker table now; counts as done if so.
+    /// Whether the complete worker table may be sent to a node now. If so, the time is recorded.
     fn may_repair(&mut self, now: u64, node: u64) -> bool {
-        is_due(&mut self.repaired_at, now, node)
+        mark_if_due(&mut self.repaired_at, now, node)
     }
 
-    /// Whether a node may be sent the committed value now; counts as done if so.
-    pub(crate) fn may_bring_up_to_date(&mut self, now: u64, node: u64) -> bool {
-        is_due(&mut self.brought_up_to_date_at, now, node)
+    /// Whether the committed value may be sent to a node now. If so, the time is recorded.
+    pub(crate) fn may_send_committed(&mut self, now: u64, node: u64) -> bool {
+        mark_if_due(&mut self.committed_sent_at, now, node)
     }
 }
 
 impl ControlNode {
-    /// A worker's heartbeat.
+    /// Handles a worker's heartbeat.
     pub(crate) fn worker_heartbeat(&mut self, now: u64, call: CallId, id: &str, body: &[u8]) {
         let worker = match Heartbeat::parse(id, body) {
             Ok(worker) => worker,
@@ -87,24 +87,24 @@
             }
         };
         let leaving = worker.state != WorkerState::Ready;
-        self.take_beat(now, worker.clone());
+        self.apply_heartbeat(now, worker.clone());
         if leaving {
-            self.settle(now, call, worker);
+            self.answer_after_majority(now, call, worker);
         } else {
             self.answer(call, Answer::json(200, "{}"));
         }
     }
 
-    /// A worker has ended.
-    pub(crate) fn worker_gone(&mut self, now: u64, call: CallId, id: &str) {
-        let gone = self.state.workers_mut().end(now, id);
-        self.tell_of_workers(now, vec![gone.clone()]);
-        self.settle(now, call, gone);
+    /// Handles the deregistration of a worker.
+    pub(crate) fn worker_deregistered(&mut self, now: u64, call: CallId, id: &str) {
+        let entry = self.state.workers_mut().end(now, id);
+        self.publish_workers(now, vec![entry.clone()]);
+        self.answer_after_majority(now, call, entry);
     }
 
-    /// Acknowledges a worker's end once a majority of the core has it.
-    fn settle(&mut self, now: u64, call: CallId, entry: Worker) {
-        if self.updates.settled.get(&entry.id).is_some_and(|state| same_kind(state, &entry.state)) {
+    /// Answers the call once a majority of the electorate has the worker's draining or terminated state.
+    fn answer_after_majority(&mut self, now: u64, call: CallId, entry: Worker) {
+        if self.updates.confirmed.get(&entry.id).is_some_and(|state| is_same_variant(state, &entry.state)) {
             self.answer(call, Answer::json(200, "{}"));
             return;
         }
@@ -114,8 +114,8 @@
             call,
             entry,
             acknowledged: BTreeSet::from([ReplicaId(self.settings.replica_id)]),
-            deadline: now + ACKNOWLEDGE_WITHIN,
-            resend_at: now + RESEND_AFTER,
+            deadline: now + MAJORITY_TIMEOUT_MS,
+            resend_at: now + RESEND_INTERVAL_MS,
         };
         self.updates.pending.insert(number, pending);
         self.finish_update(now, number);
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A core node has an update.
+    /// Records that a core node has acknowledged an update.
     pub(crate) fn worker_update_acknowledged(&mut self, now: u64, from: u64, number: u64) {
         if let Some(pending) = self.updates.pending.get_mut(&number) {
             pending.acknowledged.insert(ReplicaId(from));
@@ -144,44 +144,44 @@
 
     fn finish_update(&mut self, now: u64, number: u64) {
         let Some(pending) = self.updates.pending.get(&number) else { return };
-        let settled =
+        let is_confirmed =
             self.replica.electorate().is_some_and(|electorate| electorate.is_quorum(&pending.acknowledged));
-        if !settled || !self.serves(now) {
+        if !is_confirmed || !self.serves(now) {
             return;
         }
         if let Some(pending) = self.updates.pending.remove(&number) {
-            self.updates.settled.insert(pending.entry.id, pending.entry.state);
+            self.updates.confirmed.insert(pending.entry.id, pending.entry.state);
             self.answer(pending.call, Answer::json(200, "{}"));
         }
     }
 
-    /// Takes a heartbeat into the table and tells of what it changed.
-    fn take_beat(&mut self, now: u64, worker: Worker) {
+    /// Merges a heartbeat into the worker table and publishes the changes.
+    fn apply_heartbeat(&mut self, now: u64, worker: Worker) {
         let id = worker.id.clone();
         let before = self.state.workers().get(&id).cloned();
         let outcome = self.state.workers_mut().beat(now, worker);
         let mut changed = outcome.displaced;
         if outcome.merge == Merge::Changed {
-            let present = self.state.workers().get(&id).cloned();
-            match present {
-                Some(present) if differs_in_models_alone(before.as_ref(), &present) => {
-                    self.models_changed(&id, true);
+            let current = self.state.workers().get(&id).cloned();
+            match current {
+                Some(current) if differs_only_in_models(before.as_ref(), &current) => {
+                    self.queue_model_change(&id, true);
                 }
-                present => changed.extend(present),
+                current => changed.extend(current),
             }
         }
         if !changed.is_empty() {
-            self.tell_of_workers(now, changed);
+            self.publish_workers(now, changed);
         }
     }
 
-    /// Tells subscribers and other core nodes of entries that changed here.
-    pub(crate) fn tell_of_workers(&mut self, now: u64, workers: Vec<Worker>) {
-        self.tell_peers_of_workers(now, &workers);
+    /// Sends subscribers and other core nodes the entries that this node changed.
+    pub(crate) fn publish_workers(&mut self, now: u64, workers: Vec<Worker>) {
+        self.send_workers_to_peers(now, &workers);
         self.workers_changed(now, &Change::Workers(workers));
     }
 
-    fn tell_peers_of_workers(&mut self, now: u64, workers: &[Worker]) {
+    fn send_workers_to_peers(&mut self, now: u64, workers: &[Worker]) {
         let entries = workers.iter().map(Worker::to_bytes).collect();
         let update = WorkerUpdate { number: 0, entries, residency: Vec::new(), whole: false };
         self.send_all_peers(now, PeerBody::WorkerUpdate(update));
@@ -194,100 +194,101 @@
         self.placer_workers_changed(now);
     }
 
-    /// Another core node's entries.
+    /// Merges entries received from another core node.
     pub(crate) fn worker_update(&mut self, now: u64, address: String, update: WorkerUpdate) {
         let entries = update.entries.iter().filter_map(|entry| Worker::from_bytes(entry).ok());
         let entries: Vec<Worker> = entries.collect();
         let before = |entry: &Worker| self.state.workers().get(&entry.id).cloned();
         let before: BTreeMap<String, Worker> = entries.iter().filter_map(before).map(by_id).collect();
         if let Some(Change::Workers(changed)) = self.state.merge_entries(now, entries.into_iter()) {
-            let models_alone = |worker: &Worker| differs_in_models_alone(before.get(&worker.id), worker);
-            let (models, all): (Vec<Worker>, Vec<Worker>) = changed.into_iter().partition(models_alone);
-            models.iter().for_each(|worker| self.models_changed(&worker.id, false));
+            let only_models = |worker: &Worker| differs_only_in_models(before.get(&worker.id), worker);
+            let (models, all): (Vec<Worker>, Vec<Worker>) = changed.into_iter().partition(only_models);
+            models.iter().for_each(|worker| self.queue_model_change(&worker.id, false));
             if !all.is_empty() {
                 self.workers_changed(now, &Change::Workers(all));
             }
         }
         for residency in &update.residency {
-            self.residency(residency);
+            self.apply_residency(residency);
         }
-        self.warm |= update.whole;
+        self.workers_complete |= update.whole;
         if update.number > 0 {
             self.send_peer(address, PeerBody::WorkerUpdateAck(WorkerUpdateAck { number: update.number }));
         }
     }
 
-    /// Another core node heard workers.
-    pub(crate) fn workers_heard(&mut self, now: u64, heard: &WorkersHeard) {
+    /// Records worker heartbeats that another core node received.
+    pub(crate) fn peer_heard_workers(&mut self, now: u64, heard: &WorkersHeard) {
         for worker in &heard.workers {
             let beat =
                 HeardBeat { id: worker.id.clone(), sequence: worker.sequence, material: worker.material };
-            // An entry that is missing here comes with the comparison of tables.
+            // A missing entry is added by the comparison of the tables.
             if let HeardOutcome::Cleared(cleared) = self.state.workers_mut().heard(now, &beat) {
                 self.workers_changed(now, &Change::Workers(vec![*cleared]));
             }
         }
     }
 
-    /// Sends the whole table to a node whose table differs for some time.
+    /// Sends the complete table to a node whose table has differed for some time.
     pub(crate) fn compare_workers(&mut self, now: u64, from: u64, address: String, digest: u64, warm: bool) {
         if digest == self.state.workers().digest() {
             self.updates.differ_since.remove(&from);
-            self.warm |= warm;
+            self.workers_complete |= warm;
             return;
         }
         let since = *self.updates.differ_since.entry(from).or_insert(now);
-        let due = now >= since + DIFFER_FOR || !warm;
+        let due = now >= since + MAX_DIFFERENCE_MS || !warm;
         if due && self.updates.may_repair(now, from) {
             let update = WorkerUpdate {
                 number: 0,
                 entries: self.state.workers().iter().map(Worker::to_bytes).collect(),
                 residency: self.state.residency().values().cloned().collect(),
-                whole: self.warm,
+                whole: self.workers_complete,
             };
             self.send_peer(address, PeerBody::WorkerUpdate(update));
         }
     }
 
-    /// Suspects silent workers, tells who was heard, ends updates that took too long.
+    /// Suspects silent workers, informs the other core nodes of received heartbeats, and resends or fails pending updates.
     pub(crate) fn tick_workers(&mut self, now: u64) {
-        self.warm |= now >= self.started_at + self.settings.worker_heartbeat_ms * WARM_AFTER_TENTHS / 10;
+        self.workers_complete |=
+            now >= self.started_at + self.settings.worker_heartbeat_ms * COMPLETE_AFTER_TENTHS / 10;
         self.suspect_silent(now);
-        self.tell_heard(now);
+        self.send_heard(now);
         self.tick_updates(now);
         self.state.tick(now);
         let workers = self.state.workers();
-        self.updates.settled.retain(|id, _| workers.get(id).is_some());
+        self.updates.confirmed.retain(|id, _| workers.get(id).is_some());
     }
 
     fn suspect_silent(&mut self, now: u64) {
-        let may_suspect = self.serves(now) && self.warm;
+        let may_suspect = self.serves(now) && self.workers_complete;
         let suspected = self.state.workers_mut().tick(now, may_suspect);
         if !suspected.is_empty() {
-            self.tell_of_workers(now, suspected);
+            self.publish_workers(now, suspected);
         }
     }
 
-    fn tell_heard(&mut self, now: u64) {
-        if now < self.updates.next_heard {
+    fn send_heard(&mut self, now: u64) {
+        if now < self.updates.next_heard_at {
             return;
         }
-        self.updates.next_heard = now + HEARD_EVERY;
+        self.updates.next_heard_at = now + HEARD_INTERVAL_MS;
         let heard = self.state.workers().heard_since(self.updates.heard_marker);
         self.updates.heard_marker = heard.marker;
         if heard.beats.is_empty() {
             return;
         }
-        let told =
+        let message =
             |beat: HeardBeat| HeardWorker { id: beat.id, sequence: beat.sequence, material: beat.material };
-        let workers = heard.beats.into_iter().map(told).collect();
+        let workers = heard.beats.into_iter().map(message).collect();
         self.send_all_peers(now, PeerBody::WorkersHeard(WorkersHeard { workers }));
     }
 
     fn tick_updates(&mut self, now: u64) {
-        let over: Vec<u64> =
+        let expired: Vec<u64> =
             self.updates.pending.iter().filter(|(_, p)| now >= p.deadline).map(|(n, _)| *n).collect();
-        for number in over {
+        for number in expired {
             if let Some(pending) = self.updates.pending.remove(&number) {
                 self.answer(
                     pending.call,
@@ -299,7 +300,7 @@
             self.updates.pending.iter().filter(|(_, p)| now >= p.resend_at).map(|(n, _)| *n).collect();
         for number in due {
             let Some(pending) = self.updates.pending.get_mut(&number) else { continue };
-            pending.resend_at = now + RESEND_AFTER;
+            pending.resend_at = now + RESEND_INTERVAL_MS;
             let (entry, acknowledged) = (pending.entry.clone(), pending.acknowledged.clone());
             self.send_update(now, number, &entry, &acknowledged);
             self.finish_update(now, number);
@@ -311,22 +312,22 @@
     (worker.id.clone(), worker)
 }
 
-/// Whether an entry says the same as the one before it, but for the models that the worker holds.
-fn differs_in_models_alone(before: Option<&Worker>, present: &Worker) -> bool {
+/// Whether an entry differs from its previous version only in the list of models.
+fn differs_only_in_models(before: Option<&Worker>, current: &Worker) -> bool {
     before.is_some_and(|before| {
-        let with_models = Worker { models: present.models.clone(), ..before.clone() };
-        !with_models.differs_materially(present)
+        let with_models = Worker { models: current.models.clone(), ..before.clone() };
+        !with_models.differs_materially(current)
     })
 }
 
-fn is_due(done_at: &mut BTreeMap<u64, u64>, now: u64, node: u64) -> bool {
-    let due = done_at.get(&node).is_none_or(|at| now >= at + REPAIR_EVERY);
+fn mark_if_due(done_at: &mut BTreeMap<u64, u64>, now: u64, node: u64) -> bool {
+    let due = done_at.get(&node).is_none_or(|at| now >= at + REPAIR_INTERVAL_MS);
     if due {
         done_at.insert(node, now);
     }
     due
 }
 
-fn same_kind(one: &WorkerState, other: &WorkerState) -> bool {
+fn is_same_variant(one: &WorkerState, other: &WorkerState) -> bool {
     std::mem::discriminant(one) == std::mem::discriminant(other)
 }
