--- a/crates/control/src/announcements/tests.rs
+++ b/crates/control/src/announcements/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of which small changes a core node sends in a large fleet, and when.
 
 use crate::input::{Call, CallId, Input, Output, SubscriberId};
-use crate::lone_node_tests::{lone_node, run};
 use crate::node::ControlNode;
+use crate::single_node_tests::{lone_node, run};
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 use switchhill_protocol::{
--- a/crates/control/src/jobs/tests.rs
+++ b/crates/control/src/jobs/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of applying orders to a state, and of jobs that end after the state has changed.
 
 use super::{apply_order, Job};
-use crate::lone_node_tests::{lone_member, lone_node, run};
 use crate::node::ControlNode;
+use crate::single_node_tests::{lone_member, lone_node, run};
 use bytes::Bytes;
 use googletest::prelude::*;
 use switchhill_configuration::{ControlState, Order, OrderKind};
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -12,11 +12,11 @@
 mod input;
 mod jobs;
 mod load;
-#[cfg(test)]
-mod lone_node_tests;
 mod node;
 mod peers;
 mod placer;
+#[cfg(test)]
+mod single_node_tests;
 mod subscribers;
 mod unreachable;
 mod workers;
--- a/crates/control/src/placer/tests.rs
+++ b/crates/control/src/placer/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of which node may acquire the placer role.
 
-use crate::lone_node_tests::{lone_node, run};
+use crate::single_node_tests::{lone_node, run};
 use googletest::prelude::*;
 
 /// Guards against identifying the holder by its node name: a machine with the same name must neither continue the role nor
--- a/crates/control/src/unreachable/tests.rs
+++ b/crates/control/src/unreachable/tests.rs
@@ -2,8 +2,8 @@
 
 use super::REPORT_WINDOW_MS;
 use crate::input::{Call, CallId, Input, SubscriberId};
-use crate::lone_node_tests::{lone_node, run};
 use crate::node::ControlNode;
+use crate::single_node_tests::{lone_node, run};
 use googletest::prelude::*;
 use switchhill_protocol::{Hello, Unreachable, Upstream, UpstreamBody};
 
