--- a/crates/control/src/announcements/tests.rs
+++ b/crates/control/src/announcements/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::input::{Call, CallId, Input, Output, SubscriberId};
 use crate::node::ControlNode;
-use crate::single_node_tests::{lone_node, run};
+use crate::single_node_tests::{run, single_node};
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 use switchhill_protocol::{
@@ -58,7 +58,7 @@
 
 /// A serving node with registered workers and connected subscribers.
 fn node() -> ControlNode {
-    let mut node = lone_node(ADDRESS);
+    let mut node = single_node(ADDRESS);
     run(&mut node, 0, STARTED_AT);
     for worker in 0..WORKERS {
         node.handle(STARTED_AT, heartbeat(worker, 1, "m0"));
@@ -122,7 +122,7 @@
 
 #[gtest]
 fn in_a_small_fleet_changes_are_sent_immediately() {
-    let mut node = lone_node(ADDRESS);
+    let mut node = single_node(ADDRESS);
     run(&mut node, 0, STARTED_AT);
     node.handle(STARTED_AT, heartbeat(1, 1, "m0"));
     for id in 0..4 {
--- a/crates/control/src/jobs/tests.rs
+++ b/crates/control/src/jobs/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{apply_order, Job};
 use crate::node::ControlNode;
-use crate::single_node_tests::{lone_member, lone_node, run};
+use crate::single_node_tests::{only_member, run, single_node};
 use bytes::Bytes;
 use googletest::prelude::*;
 use switchhill_configuration::{ControlState, Order, OrderKind};
@@ -38,11 +38,11 @@
 const ADDRESS: &str = "10.0.0.1:7000";
 
 fn node() -> ControlNode {
-    lone_node(ADDRESS)
+    single_node(ADDRESS)
 }
 
 fn member() -> Member {
-    lone_member(ADDRESS)
+    only_member(ADDRESS)
 }
 
 fn chosen(counter: u64, state: &ControlState) -> Accepted {
--- a/crates/control/src/single_node_tests.rs
+++ b/crates/control/src/single_node_tests.rs
@@ -8,12 +8,12 @@
 const TICK_MS: usize = 25;
 
 /// The only member of a single-node core at this address.
-pub(crate) fn lone_member(address: &str) -> Member {
+pub(crate) fn only_member(address: &str) -> Member {
     Member { id: ReplicaId(1), address: address.to_owned() }
 }
 
 /// A single-node core before its first tick. All machines of these tests have the same node name.
-pub(crate) fn lone_node(address: &str) -> ControlNode {
+pub(crate) fn single_node(address: &str) -> ControlNode {
     let settings = NodeSettings {
         replica_id: 1,
         incarnation: 1,
@@ -30,7 +30,7 @@
         planner: Default::default(),
         seed: 1,
     };
-    ControlNode::new(0, settings, Vec::new(), Some(vec![lone_member(address)]))
+    ControlNode::new(0, settings, Vec::new(), Some(vec![only_member(address)]))
 }
 
 /// Advances the time in ticks from `from` to `until` in milliseconds, with a disk that writes immediately.
--- a/crates/control/src/unreachable/tests.rs
+++ b/crates/control/src/unreachable/tests.rs
@@ -3,7 +3,7 @@
 use super::REPORT_WINDOW_MS;
 use crate::input::{Call, CallId, Input, SubscriberId};
 use crate::node::ControlNode;
-use crate::single_node_tests::{lone_node, run};
+use crate::single_node_tests::{run, single_node};
 use googletest::prelude::*;
 use switchhill_protocol::{Hello, Unreachable, Upstream, UpstreamBody};
 
@@ -12,7 +12,7 @@
 
 /// A serving node with this number of workers of one service, each of which has just sent a heartbeat.
 fn node_with_workers(count: usize) -> ControlNode {
-    let mut node = lone_node("10.0.0.1:7000");
+    let mut node = single_node("10.0.0.1:7000");
     run(&mut node, 0, SERVING);
     for worker in 0..count {
         send_heartbeat(&mut node, SERVING, worker, 1);
