--- a/crates/control/src/announcements.rs
+++ b/crates/control/src/announcements.rs
@@ -1,11 +1,11 @@
 //! Batching of frequent small changes: residency, model lists and expected load times.
 //!
-//! The set of resident models of a worker changes with each order, and every change goes to every gatekeeper over each of
-//! its connections. Sent one by one, these changes took most of a core node's CPU time at 300 gatekeepers and 256 workers.
-//! They are therefore sent in rounds, and the interval between rounds grows with the number of subscribers, which bounds
-//! the messages per second for any number of subscribers. In a small fleet changes go out immediately. A subscriber whose
-//! home is another node gets them from that node; this node sends them later as well, in case the home node's message did
-//! not arrive.
+//! The set of resident models of a worker changes with each order, and every change goes to every gatekeeper over each
+//! of its connections. Sent one by one, these changes took most of a core node's CPU time at 300 gatekeepers and 256
+//! workers. They are therefore sent in rounds, and the interval between rounds grows with the number of subscribers,
+//! which bounds the messages per second for any number of subscribers. In a small fleet changes go out immediately. A
+//! subscriber whose home is another node gets them from that node; this node sends them later as well, in case the home
+//! node's message did not arrive.
 //!
 //! New, draining, terminated and suspected workers are not batched: all subscribers are informed immediately.
 
@@ -95,8 +95,8 @@
         self.announcements.expectations.insert(key, expectation);
     }
 
-    /// Queues a worker's changed list of models for the subscribers and, if this node received the worker's heartbeat, for
-    /// the other core nodes.
+    /// Queues a worker's changed list of models for the subscribers and, if this node received the worker's heartbeat,
+    /// for the other core nodes.
     pub(crate) fn queue_model_change(&mut self, worker: &str, received_here: bool) {
         self.announcements.for_homes.models.insert(worker.to_owned());
         self.announcements.for_others.models.insert(worker.to_owned());
--- a/crates/control/src/announcements/tests.rs
+++ b/crates/control/src/announcements/tests.rs
@@ -205,8 +205,8 @@
     }
 }
 
-/// Guards against a status whose digest covers changes that its receiver gets only later. The receiver sees a mismatch, and
-/// under continuous changes it fetches the whole worker table repeatedly.
+/// Guards against a status whose digest covers changes that its receiver gets only later. The receiver sees a mismatch,
+/// and under continuous changes it fetches the whole worker table repeatedly.
 #[gtest]
 fn a_status_is_sent_after_all_changes_that_its_digest_covers() {
     let mut node = node();
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -10,8 +10,8 @@
 /// Maximum number of register jobs queued at one node; further changes are rejected.
 const MAX_WAITING_JOBS: usize = 32;
 
-/// Time limit in milliseconds from the call to the answer of a read. It excludes results that a node computed before its
-/// process was suspended.
+/// Time limit in milliseconds from the call to the answer of a read. It excludes results that a node computed before
+/// its process was suspended.
 const READ_TIMEOUT_MS: u64 = 900;
 
 impl ControlNode {
--- a/crates/control/src/electorate.rs
+++ b/crates/control/src/electorate.rs
@@ -16,8 +16,8 @@
 /// replacement has run for 4 s, because from then on another machine may be lost.
 const REMOVE_TIMEOUT_MS: u64 = 2_500;
 
-/// Silence in milliseconds after which a joining replica may replace a member. Both happen in one change, so there is no
-/// intermediate electorate that contains the lost member in addition.
+/// Silence in milliseconds after which a joining replica may replace a member. Both happen in one change, so there is
+/// no intermediate electorate that contains the lost member in addition.
 const REPLACE_TIMEOUT_MS: u64 = 800;
 
 /// Time in milliseconds for which a replica counts as new and may well be lost again: `catchUpS` of the deployments.
@@ -65,9 +65,9 @@
     }
 
     /// Whether the process may exit after [`Input::Leave`](crate::Input::Leave). It may once the electorate no longer
-    /// contains this node, which means that a majority of the others durably holds the newest value. It may also exit as
-    /// one of the tolerated losses, if all other members are in contact and no replica can take its place, and if all
-    /// others are leaving too. A node without a quorum waits: the others may be about to return and need its copy.
+    /// contains this node, which means that a majority of the others durably holds the newest value. It may also exit
+    /// as one of the tolerated losses, if all other members are in contact and no replica can take its place, and if
+    /// all others are leaving too. A node without a quorum waits: the others may be about to return and need its copy.
     pub fn may_leave(&self, now: u64) -> bool {
         let Some(electorate) = self.replica.electorate() else { return true };
         let me = ReplicaId(self.settings.replica_id);
@@ -87,8 +87,8 @@
         is_stable && desired().is_none_or(|members| members.iter().any(|member| member.id == me))
     }
 
-    /// Whether a non-voting replica was heard recently that can take the place of a member. It may have restarted just now
-    /// and not be eligible yet.
+    /// Whether a non-voting replica was heard recently that can take the place of a member. It may have restarted just
+    /// now and not be eligible yet.
     fn has_possible_replacement(&self, now: u64, electorate: &Electorate) -> bool {
         self.contacts.iter().any(|(id, contact)| {
             let votes = electorate.members.iter().any(|member| member.id.0 == id);
@@ -101,8 +101,9 @@
         self.replica.committed().map(|accepted| (accepted.ballot, &accepted.value.electorate))
     }
 
-    /// Whether this node is the member with the lowest id that can change the electorate. Members are skipped if they are
-    /// not in contact with this node in both directions, have no quorum, have no ballot to propose with, or are leaving.
+    /// Whether this node is the member with the lowest id that can change the electorate. Members are skipped if they
+    /// are not in contact with this node in both directions, have no quorum, have no ballot to propose with, or are
+    /// leaving.
     fn drives_electorate_changes(&self, now: u64, electorate: &Electorate) -> bool {
         let me = self.settings.replica_id;
         let able = |id: u64| {
@@ -146,8 +147,8 @@
         contacts.map(|(id, contact)| candidate(id, contact)).collect()
     }
 
-    /// Whether a node has appeared only recently. A node that has itself just started cannot tell, and when the whole system
-    /// starts, every node would count as new; in both cases the result is `false`.
+    /// Whether a node has appeared only recently. A node that has itself just started cannot tell, and when the whole
+    /// system starts, every node would count as new; in both cases the result is `false`.
     fn is_new(&self, now: u64, contact: &Contact) -> bool {
         now >= self.started_at + NEW_REPLICA_PERIOD_MS && now < contact.heard_since + NEW_REPLICA_PERIOD_MS
     }
@@ -200,8 +201,8 @@
         }
     }
 
-    /// Time since a member last confirmed that it receives this node's messages. A member with a one-way link thus loses its
-    /// vote.
+    /// Time since a member last confirmed that it receives this node's messages. A member with a one-way link thus
+    /// loses its vote.
     fn unconfirmed_for(&self, now: u64, member: &Member) -> u64 {
         if member.id.0 == self.settings.replica_id {
             return 0;
--- a/crates/control/src/electorate/choice.rs
+++ b/crates/control/src/electorate/choice.rs
@@ -1,7 +1,7 @@
 //! Selection of the voting members from the known replicas.
 //!
-//! An electorate is *fault-tolerant* if a majority of it remains after the loss of as many machines, and of as many zones,
-//! as the site is configured to tolerate. Losses that have already occurred count: a lost member that stays in a
+//! An electorate is *fault-tolerant* if a majority of it remains after the loss of as many machines, and of as many
+//! zones, as the site is configured to tolerate. Losses that have already occurred count: a lost member that stays in a
 //! fault-tolerant electorate is one of the tolerated losses, and no change is needed when it returns. Lost members are
 //! therefore removed only as long as the remaining electorate tolerates at least as much without them.
 
@@ -98,7 +98,8 @@
     tolerates_machines: bool,
     /// Whether a majority remains after the loss of any zones up to the configured number.
     tolerates_zones: bool,
-    /// If the loss of the machines is not tolerated: the number of further losses tolerated now, and the number of members.
+    /// If the loss of the machines is not tolerated: the number of further losses tolerated now, and the number of
+    /// members.
     fallback: (usize, usize),
 }
 
@@ -185,8 +186,8 @@
     ordered
 }
 
-/// Extends an even electorate by one lost member. Removing that member has no benefit: the larger electorate tolerates as
-/// many losses and needs no change when the member returns.
+/// Extends an even electorate by one lost member. Removing that member has no benefit: the larger electorate tolerates
+/// as many losses and needs no change when the member returns.
 fn with_additional_lost_member(
     electorate: &[Candidate],
     dropped: &[Candidate],
@@ -224,8 +225,8 @@
     *electorate = reduced;
 }
 
-/// Leaves out a joining replica that would make the number of members even: an even electorate tolerates no more losses than
-/// one with a member less.
+/// Leaves out a joining replica that would make the number of members even: an even electorate tolerates no more losses
+/// than one with a member less.
 fn leave_out_surplus_joiner(electorate: &mut Vec<Candidate>, tolerance: FaultTolerance) {
     if !electorate.len().is_multiple_of(2) || !electorate.iter().any(Candidate::is_joining) {
         return;
@@ -244,8 +245,8 @@
     }
 }
 
-/// Removes one candidate: if zone losses are to be tolerated, one of the largest zone; within a zone, the one with the lowest
-/// retention priority.
+/// Removes one candidate: if zone losses are to be tolerated, one of the largest zone; within a zone, the one with the
+/// lowest retention priority.
 fn remove_lowest_priority(electorate: &mut Vec<Candidate>, tolerance: FaultTolerance) {
     let sizes = zone_sizes(electorate);
     let size = |candidate: &Candidate| match tolerance.zones {
--- a/crates/control/src/electorate/choice/tests.rs
+++ b/crates/control/src/electorate/choice/tests.rs
@@ -121,8 +121,8 @@
     expect_that!(select_ids(&candidates, machines(1)), len(eq(7)));
 }
 
-/// Whether a majority of the selected members is in contact, and a majority remains after the loss of any machines and any
-/// zones up to these numbers.
+/// Whether a majority of the selected members is in contact, and a majority remains after the loss of any machines and
+/// any zones up to these numbers.
 fn is_fault_tolerant(selected: &[&Candidate], tolerance: FaultTolerance) -> bool {
     let mut sizes = BTreeMap::<&str, usize>::new();
     selected.iter().for_each(|candidate| *sizes.entry(&candidate.zone).or_default() += 1);
@@ -136,8 +136,8 @@
 
 #[gtest]
 fn an_electorate_without_a_live_majority_is_never_proposed() {
-    // Two of three zones are lost, more than is tolerated. One member of each zone would tolerate the loss of a zone, but has
-    // no majority in contact.
+    // Two of three zones are lost, more than is tolerated. One member of each zone would tolerate the loss of a zone,
+    // but has no majority in contact.
     let statuses = [LIVE, LIVE, LIVE, LOST, LOST];
     let zones = [0, 0, 0, 1, 2];
     let candidates =
@@ -184,7 +184,8 @@
     })
 }
 
-/// Counts the selections over all layouts of up to five machines that are not fault-tolerant although another subset is.
+/// Counts the selections over all layouts of up to five machines that are not fault-tolerant although another subset
+/// is.
 fn missed_electorates(
     select: impl Fn(&[Candidate], FaultTolerance) -> Vec<u64>,
     tolerance: FaultTolerance,
--- a/crates/control/src/freshness.rs
+++ b/crates/control/src/freshness.rs
@@ -24,7 +24,7 @@
     /// Start time of the current or last read.
     read_started_at: u64,
     /// Time of the last tick without contact with a quorum.
-    contact_lost_at: Option<u64>,
+    last_tick_out_of_contact: Option<u64>,
 }
 
 impl Freshness {
@@ -39,9 +39,10 @@
         self.read_started_at = now;
     }
 
-    /// Whether the read started after contact was last lost. An earlier one returns what a majority held before the loss.
+    /// Whether the read started after contact was last lost. An earlier one returns what a majority held before the
+    /// loss.
     pub(crate) fn is_read_current(&self) -> bool {
-        self.contact_lost_at.is_none_or(|lost_at| self.read_started_at > lost_at)
+        self.last_tick_out_of_contact.is_none_or(|lost_at| self.read_started_at > lost_at)
     }
 
     /// Records that the current read has returned the newest value.
@@ -71,7 +72,7 @@
         let is_behind = self.freshness.is_behind(now, committed);
         let in_contact = self.has_quorum(now);
         if !in_contact {
-            self.freshness.contact_lost_at = Some(now);
+            self.freshness.last_tick_out_of_contact = Some(now);
         }
         if is_behind || !in_contact {
             self.caught_up = false;
--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -39,8 +39,8 @@
 }
 
 impl NodeSettings {
-    /// Name of this machine as holder of the placer role. It is the address, because two machines may have the same node
-    /// name and have to be distinct holders.
+    /// Name of this machine as holder of the placer role. It is the address, because two machines may have the same
+    /// node name and have to be distinct holders.
     pub fn holder(&self) -> &str {
         &self.address
     }
--- a/crates/control/src/jobs.rs
+++ b/crates/control/src/jobs.rs
@@ -1,5 +1,5 @@
-//! Queue of register operations, executed one at a time: configuration changes, reads, acquisition of the placer role, and
-//! electorate changes.
+//! Queue of register operations, executed one at a time: configuration changes, reads, acquisition of the placer role,
+//! and electorate changes.
 
 #[cfg(test)]
 mod tests;
@@ -142,7 +142,8 @@
                 *grant = next.placer.clone();
                 Some((Bytes::from(next.encode()), None))
             }
-            // An empty register gets its first value, without a configuration, from which all nodes learn the electorate.
+            // An empty register gets its first value, without a configuration, from which all nodes learn the
+            // electorate.
             Job::Electorate => {
                 desired.map(|members| (data.unwrap_or_else(|| Bytes::from(state.encode())), Some(members)))
             }
@@ -233,8 +234,8 @@
     }
 }
 
-/// Applies an order to a state. Returns the value to write, if any, and the answer to give once it is written. `is_chosen`
-/// tells whether the state, whose encoding is `data`, is known to be chosen.
+/// Applies an order to a state. Returns the value to write, if any, and the answer to give once it is written.
+/// `is_chosen` tells whether the state, whose encoding is `data`, is known to be chosen.
 fn apply_order(
     state: &ControlState,
     order: &Order,
--- a/crates/control/src/jobs/tests.rs
+++ b/crates/control/src/jobs/tests.rs
@@ -64,8 +64,8 @@
     expect_that!(node.control, eq(&newer));
 }
 
-/// Guards against writing an electorate change that is outdated because the electorate was replaced while the change was
-/// queued. The members are computed from the prepared value.
+/// Guards against writing an electorate change that is outdated because the electorate was replaced while the change
+/// was queued. The members are computed from the prepared value.
 #[gtest]
 fn a_change_computed_from_an_older_electorate_is_not_written() {
     let mut node = node();
--- a/crates/control/src/load.rs
+++ b/crates/control/src/load.rs
@@ -46,8 +46,8 @@
 }
 
 impl FleetLoad {
-    /// Merges the load report of another core node. A delta that does not follow the last received message is ignored; a
-    /// full report follows within a second.
+    /// Merges the load report of another core node. A delta that does not follow the last received message is ignored;
+    /// a full report follows within a second.
     pub(crate) fn apply_peer_report(&mut self, now: u64, from: u64, report: LoadSummary) {
         let summary = report.summary.unwrap_or_default();
         let is_next = self.peers.get(&from).is_some_and(|peer| report.sequence == peer.sequence + 1);
@@ -88,8 +88,8 @@
         self.peer_gatekeepers.insert(from, (now, count));
     }
 
-    /// Number of gatekeepers in the fleet: the maximum of the last seconds, so that it does not drop while gatekeepers change
-    /// their home.
+    /// Number of gatekeepers in the fleet: the maximum of the last seconds, so that it does not drop while gatekeepers
+    /// change their home.
     pub(crate) fn gatekeepers(&self, now: u64, own: u32) -> u32 {
         let live = self.peer_gatekeepers.values().filter(|(at, _)| now < at + SUMMARY_TTL_MS);
         let count = own + live.map(|(_, count)| count).sum::<u32>();
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -51,8 +51,8 @@
 }
 
 impl ControlNode {
-    /// Creates a node from the records on its disk. `genesis` is the initial electorate if the whole system starts for the
-    /// first time.
+    /// Creates a node from the records on its disk. `genesis` is the initial electorate if the whole system starts for
+    /// the first time.
     pub fn new(
         now: u64,
         settings: NodeSettings,
@@ -126,8 +126,8 @@
         self.replica.electorate().is_some_and(|electorate| electorate.is_quorum(&contact))
     }
 
-    /// Whether the node serves calls and subscribers: it is in contact with a quorum and has read the register since that
-    /// contact began.
+    /// Whether the node serves calls and subscribers: it is in contact with a quorum and has read the register since
+    /// that contact began.
     pub fn serves(&self, now: u64) -> bool {
         self.caught_up && self.has_quorum(now)
     }
--- a/crates/control/src/placer.rs
+++ b/crates/control/src/placer.rs
@@ -1,5 +1,5 @@
-//! The placer role. One live node holds it under an epoch, which serves as fencing token; it runs a planner for each service
-//! and sends the planners' orders to the workers.
+//! The placer role. One live node holds it under an epoch, which serves as fencing token; it runs a planner for each
+//! service and sends the planners' orders to the workers.
 
 #[cfg(test)]
 mod tests;
@@ -21,9 +21,9 @@
 /// Maximum age in milliseconds of the contact with a quorum at which the placer sends orders.
 const MAX_CONTACT_AGE_FOR_ORDERS_MS: u64 = 450;
 
-/// Time in milliseconds for which a former placer may continue to send orders after another node has taken over. The quorum
-/// contact that it relies on is at most [`MAX_CONTACT_AGE_FOR_ORDERS_MS`] old, and every node that echoed a later heartbeat
-/// already knew the new grant.
+/// Time in milliseconds for which a former placer may continue to send orders after another node has taken over. The
+/// quorum contact that it relies on is at most [`MAX_CONTACT_AGE_FOR_ORDERS_MS`] old, and every node that echoed a
+/// later heartbeat already knew the new grant.
 const FORMER_PLACER_GRACE_MS: u64 = 500;
 
 /// Silence in milliseconds of the placer after which another node takes over the role.
@@ -41,8 +41,8 @@
 /// Interval in milliseconds between log lines with the placement counters.
 const COUNTERS_LOG_INTERVAL_MS: u64 = 5_000;
 
-/// A planner with its number in this run of the process, which is needed because each planner numbers its orders from the
-/// start.
+/// A planner with its number in this run of the process, which is needed because each planner numbers its orders from
+/// the start.
 struct NumberedPlanner {
     number: u64,
     planner: Planner,
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Whether this node may send orders: it holds the role, the pause is over, and its contact with a quorum is recent.
+    /// Whether this node may send orders: it holds the role, the pause is over, and its contact with a quorum is
+    /// recent.
     fn may_send_orders(&self, now: u64) -> bool {
         self.placer.active_epoch(now).is_some()
             && self.caught_up
@@ -189,8 +190,8 @@
         }
     }
 
-    /// Whether this node may acquire the role: the holder itself after a restart, otherwise the node with the lowest id in
-    /// contact once the holder is silent.
+    /// Whether this node may acquire the role: the holder itself after a restart, otherwise the node with the lowest id
+    /// in contact once the holder is silent.
     fn may_acquire_placer_role(&self, now: u64) -> bool {
         let first = self.contacts.in_contact(now).min() == Some(self.settings.replica_id);
         match &self.placer.committed {
@@ -218,7 +219,8 @@
     fn ensure_planners(&mut self, now: u64) {
         let Some(document) = self.state.document().cloned() else { return };
         let engines = engines(&document);
-        // Worker reports are delayed: one requested before this time may not contain the last order of the previous placer.
+        // Worker reports are delayed: one requested before this time may not contain the last order of the previous
+        // placer.
         let settings = PlannerSettings { watch_ms: MAX_REPORT_DELAY_MS, ..self.settings.planner.clone() };
         self.placer.planners.retain(|service, _| engines.contains_key(service));
         for (service, engine) in engines {
@@ -282,8 +284,8 @@
         }
     }
 
-    /// Handles a request for a model that is not resident: the placer passes it to the planner, any other node forwards it to
-    /// the placer.
+    /// Handles a request for a model that is not resident: the placer passes it to the planner, any other node forwards
+    /// it to the placer.
     pub(crate) fn model_missing(&mut self, now: u64, missing: Missing, may_forward: bool) {
         if self.may_send_orders(now) {
             let input = Input::Missing {
@@ -352,8 +354,8 @@
     fn planner_output(&mut self, now: u64, service: &str, planner: u64, output: PlannerOutput) {
         let Some(epoch) = self.placer.epoch() else { return };
         match output {
-            // Planners also emit orders on answers and reports. An order that cannot be sent for lack of contact is treated
-            // as unanswered.
+            // Planners also emit orders on answers and reports. An order that cannot be sent for lack of contact is
+            // treated as unanswered.
             PlannerOutput::Order { order, .. } if !self.may_send_orders(now) => {
                 self.placer.unsent_orders.push((service.to_owned(), order));
             }
--- a/crates/control/src/placer/tests.rs
+++ b/crates/control/src/placer/tests.rs
@@ -3,8 +3,8 @@
 use crate::single_node_tests::{run, single_node};
 use googletest::prelude::*;
 
-/// Guards against identifying the holder by its node name: a machine with the same name must neither continue the role nor
-/// start it without the pause.
+/// Guards against identifying the holder by its node name: a machine with the same name must neither continue the role
+/// nor start it without the pause.
 #[gtest]
 fn a_machine_with_the_node_name_of_the_placer_is_a_different_holder() {
     let mut former = single_node("10.0.0.1:7000");
--- a/crates/control/src/subscribers.rs
+++ b/crates/control/src/subscribers.rs
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Answers a fetch with the requested state. A node that does not serve gives no answer, so that the subscriber asks
-    /// another node.
+    /// Answers a fetch with the requested state. A node that does not serve gives no answer, so that the subscriber
+    /// asks another node.
     fn fetch(&mut self, now: u64, id: SubscriberId, fetch: &Fetch) {
         if !self.serves(now) {
             return;
--- a/crates/control/src/unreachable.rs
+++ b/crates/control/src/unreachable.rs
@@ -1,9 +1,9 @@
 //! Suspicion of workers that several gatekeepers report as unreachable.
 //!
-//! The missing heartbeats of a crashed worker become apparent only after seconds. The gatekeepers notice the crash sooner:
-//! the worker's machine refuses their connections or does not answer them. A single gatekeeper is not reliable evidence,
-//! so each reports to the core, and a worker that several machines found unreachable within a short time is suspected
-//! until its next heartbeat.
+//! The missing heartbeats of a crashed worker become apparent only after seconds. The gatekeepers notice the crash
+//! sooner: the worker's machine refuses their connections or does not answer them. A single gatekeeper is not reliable
+//! evidence, so each reports to the core, and a worker that several machines found unreachable within a short time is
+//! suspected until its next heartbeat.
 
 #[cfg(test)]
 mod tests;
@@ -14,14 +14,14 @@
 
 /// Window in milliseconds in which reports of different gatekeepers are counted together.
 const REPORT_WINDOW_MS: u64 = 1_500;
-/// Number of gatekeepers with refused connections that makes a worker suspected. A single one may have a wrong address or
-/// may have been cut off by a reset.
+/// Number of gatekeepers with refused connections that makes a worker suspected. A single one may have a wrong address
+/// or may have been cut off by a reset.
 const REFUSED_THRESHOLD: usize = 2;
-/// Number of gatekeepers with refused or unanswered connections that makes a worker suspected. It is higher because a full
-/// accept queue also drops connection attempts.
+/// Number of gatekeepers with refused or unanswered connections that makes a worker suspected. It is higher because a
+/// full accept queue also drops connection attempts.
 const UNANSWERED_THRESHOLD: usize = 3;
-/// At most one in this number of workers of a service is suspected because of reports at a time. If more are unreachable,
-/// a fault of the network or of the gatekeepers is more likely.
+/// At most one in this number of workers of a service is suspected because of reports at a time. If more are
+/// unreachable, a fault of the network or of the gatekeepers is more likely.
 const WORKERS_PER_SUSPECTED: usize = 3;
 
 /// Newest report of one gatekeeper about a worker.
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -52,8 +52,8 @@
 }
 
 impl PendingUpdates {
-    /// Creates the state without pending updates. Update numbers start at the random number of the incarnation, so that a
-    /// late acknowledgement of an update from before a restart never matches an update of this process.
+    /// Creates the state without pending updates. Update numbers start at the random number of the incarnation, so that
+    /// a late acknowledgement of an update from before a restart never matches an update of this process.
     pub(crate) fn new(incarnation: u64) -> PendingUpdates {
         PendingUpdates { next_number: incarnation, ..PendingUpdates::default() }
     }
@@ -249,7 +249,8 @@
         }
     }
 
-    /// Suspects silent workers, informs the other core nodes of received heartbeats, and resends or fails pending updates.
+    /// Suspects silent workers, informs the other core nodes of received heartbeats, and resends or fails pending
+    /// updates.
     pub(crate) fn tick_workers(&mut self, now: u64) {
         self.workers_complete |=
             now >= self.started_at + self.settings.worker_heartbeat_ms * COMPLETE_AFTER_TENTHS / 10;
