--- a/crates/control/tests/catch_up/files.rs
+++ b/crates/control/tests/catch_up/files.rs
@@ -7,7 +7,7 @@
 
 use switchhill_control::Input;
 use switchhill_record_log::{FileSystem, LogFile, Options};
-use switchhill_replica_file::{open, Identity, Report, Stored, Work, Writer};
+use switchhill_replica_file::{open, Identity, OpenedReplica, WriteRequest, Writer, WriterEvent};
 
 /// Length in bytes above which a file is rewritten, as in the program.
 const REWRITE_ABOVE: u64 = 8 << 20;
@@ -105,7 +105,7 @@
 pub struct Disk {
     files: MemoryFileSystem,
     writer: Option<Writer<MemoryFileSystem>>,
-    waiting: VecDeque<Work>,
+    waiting: VecDeque<WriteRequest>,
     writing: bool,
     trouble: DiskTrouble,
     started_us: u64,
@@ -133,7 +133,7 @@
     pub fn start(&mut self, now_us: u64, trouble: DiskTrouble, fresh: Identity) -> (Identity, Vec<Vec<u8>>) {
         let options = Options { rewrite_above_bytes: REWRITE_ABOVE };
         let stored = open(self.files.clone(), Path::new("/data"), options, || fresh);
-        let Stored { writer, identity, records } = stored.expect("the file opens");
+        let OpenedReplica { writer, identity, records } = stored.expect("the file opens");
         self.writer = Some(writer);
         self.waiting.clear();
         self.writing = false;
@@ -142,7 +142,7 @@
         (identity, records)
     }
 
-    pub fn add(&mut self, work: Work) {
+    pub fn add(&mut self, work: WriteRequest) {
         self.waiting.push_back(work);
         let waiting = self.waiting.iter().map(bytes).sum();
         self.most_waiting = self.most_waiting.max(waiting);
@@ -153,10 +153,10 @@
         if self.writing || self.waiting.is_empty() {
             return None;
         }
-        let batch: Vec<Work> = self.waiting.drain(..).collect();
+        let batch: Vec<WriteRequest> = self.waiting.drain(..).collect();
         let written: usize = batch.iter().map(bytes).sum();
         let mut told = Vec::new();
-        self.writer.as_mut()?.carry_out(batch, &mut |report| told.extend(input(report)));
+        self.writer.as_mut()?.process_batch(batch, &mut |report| told.extend(input(report)));
         self.writing = true;
         self.most_used = self.most_used.max(self.files.used());
         let takes = SYNC_US + written as u64 / BYTES_PER_US;
@@ -173,18 +173,18 @@
     }
 }
 
-fn bytes(work: &Work) -> usize {
+fn bytes(work: &WriteRequest) -> usize {
     match work {
-        Work::Append(_, record) => record.len(),
-        Work::Rewrite(records) => records.iter().map(Vec::len).sum(),
+        WriteRequest::Append(_, record) => record.len(),
+        WriteRequest::Rewrite(records) => records.iter().map(Vec::len).sum(),
     }
 }
 
-fn input(report: Report) -> Option<Input> {
+fn input(report: WriterEvent) -> Option<Input> {
     match report {
-        Report::Persisted(token) => Some(Input::Persisted(token)),
-        Report::Failed(token, _) => Some(Input::PersistFailed(token)),
-        Report::IsLong => Some(Input::LogIsLong),
-        Report::NotRewritten(_) => None,
+        WriterEvent::Persisted(token) => Some(Input::Persisted(token)),
+        WriterEvent::AppendFailed(token, _) => Some(Input::PersistFailed(token)),
+        WriterEvent::RewriteNeeded => Some(Input::LogIsLong),
+        WriterEvent::RewriteFailed(_) => None,
     }
 }
--- a/crates/control/tests/catch_up/mod.rs
+++ b/crates/control/tests/catch_up/mod.rs
@@ -18,7 +18,7 @@
     Downstream, DownstreamBody, Hello, PeerBody, PeerFrame, Status, Upstream, UpstreamBody,
 };
 use switchhill_register::{Body, Member, Message, ReplicaId};
-use switchhill_replica_file::{Identity, Work};
+use switchhill_replica_file::{Identity, WriteRequest};
 
 use files::Disk;
 pub use files::DiskTrouble;
@@ -417,8 +417,8 @@
                 self.add(self.now + DELAY_US, Event::Agent(Box::new(lost)));
             }
             Output::Answer(id, answer) => self.answered(core, id, &answer),
-            Output::Persist(token, record) => self.cores[core].disk.add(Work::Append(token, record)),
-            Output::Rewrite(records) => self.cores[core].disk.add(Work::Rewrite(records)),
+            Output::Persist(token, record) => self.cores[core].disk.add(WriteRequest::Append(token, record)),
+            Output::Rewrite(records) => self.cores[core].disk.add(WriteRequest::Rewrite(records)),
             Output::Order(_) | Output::AskReport(_) => {}
         }
     }
--- a/crates/replica_file/src/lib.rs
+++ b/crates/replica_file/src/lib.rs
@@ -5,7 +5,7 @@
 //! before the replica says anything.
 //!
 //! The [`Writer`] is handed its work in the order in which it was asked for and tells what has become of it. It owns no
-//! thread and no channel; [`Writer::run`] takes the one that work comes through as a [`WorkQueue`].
+//! thread and no channel; [`Writer::run`] takes the one that work comes through as a [`RequestQueue`].
 
 mod identity;
 mod writer;
@@ -15,7 +15,7 @@
 use switchhill_record_log::{FileSystem, LogError, Options, RecordLog};
 
 pub use identity::Identity;
-pub use writer::{Report, Work, WorkQueue, Writer};
+pub use writer::{RequestQueue, WriteRequest, Writer, WriterEvent};
 
 use identity::{read_identity, register_record};
 
@@ -23,7 +23,7 @@
 const LOG_NAME: &str = "replica";
 
 /// What the disk holds at the start.
-pub struct Stored<S: FileSystem> {
+pub struct OpenedReplica<S: FileSystem> {
     /// Writes to the file.
     pub writer: Writer<S>,
     /// Identity of the replica.
@@ -41,7 +41,7 @@
     folder: &Path,
     options: Options,
     fresh: impl FnOnce() -> Identity,
-) -> Result<Stored<S>, LogError> {
+) -> Result<OpenedReplica<S>, LogError> {
     let (mut log, records) = RecordLog::open_with(file_system, folder, LOG_NAME, options)?;
     let identity = match records.iter().find_map(|record| read_identity(record)) {
         Some(identity) => identity,
@@ -53,5 +53,5 @@
         }
     };
     let records = records.into_iter().filter_map(register_record).collect();
-    Ok(Stored { writer: Writer::new(log, identity), identity, records })
+    Ok(OpenedReplica { writer: Writer::new(log, identity), identity, records })
 }
--- a/crates/replica_file/tests/identity.rs
+++ b/crates/replica_file/tests/identity.rs
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use power::{Choices, Flaw, PowerFileSystem, Trouble};
 use switchhill_record_log::Options;
-use switchhill_replica_file::{open, Identity, Report, Stored, Work};
+use switchhill_replica_file::{open, Identity, OpenedReplica, WriteRequest, WriterEvent};
 
 const OPTIONS: Options = Options { rewrite_above_bytes: 1_000 };
 
@@ -25,7 +25,10 @@
 }
 
 impl Replica {
-    fn start(&mut self, fresh: Identity) -> std::result::Result<Option<Stored<PowerFileSystem>>, String> {
+    fn start(
+        &mut self,
+        fresh: Identity,
+    ) -> std::result::Result<Option<OpenedReplica<PowerFileSystem>>, String> {
         let Ok(stored) = open(self.disk.clone(), Path::new("/data"), OPTIONS, || fresh) else {
             return Ok(None);
         };
@@ -41,16 +44,20 @@
     }
 
     /// A batch with a rewrite in the middle, then two rewrites in a row.
-    fn work(&mut self, mut stored: Stored<PowerFileSystem>) {
+    fn work(&mut self, mut stored: OpenedReplica<PowerFileSystem>) {
         let batches = [
-            vec![Work::Append(1, vec![1])],
-            vec![Work::Append(2, vec![2]), Work::Rewrite(vec![vec![2]]), Work::Append(3, vec![3])],
-            vec![Work::Rewrite(vec![vec![3]]), Work::Rewrite(vec![vec![3]])],
-            vec![Work::Append(4, vec![4])],
+            vec![WriteRequest::Append(1, vec![1])],
+            vec![
+                WriteRequest::Append(2, vec![2]),
+                WriteRequest::Rewrite(vec![vec![2]]),
+                WriteRequest::Append(3, vec![3]),
+            ],
+            vec![WriteRequest::Rewrite(vec![vec![3]]), WriteRequest::Rewrite(vec![vec![3]])],
+            vec![WriteRequest::Append(4, vec![4])],
         ];
         for batch in batches {
-            stored.writer.carry_out(batch, &mut |report| {
-                if let Report::Persisted(token) = report {
+            stored.writer.process_batch(batch, &mut |report| {
+                if let WriterEvent::Persisted(token) = report {
                     self.durable = token as u8;
                 }
             });
--- a/crates/replica_file/tests/interleavings.rs
+++ b/crates/replica_file/tests/interleavings.rs
@@ -16,7 +16,7 @@
 use shuttle::sync::mpsc::{channel, Receiver, Sender};
 use shuttle::thread;
 use switchhill_record_log::{FileSystem, LogFile, Options};
-use switchhill_replica_file::{open, Identity, Report, Work, WorkQueue};
+use switchhill_replica_file::{open, Identity, RequestQueue, WriteRequest, WriterEvent};
 
 const OPTIONS: Options = Options { rewrite_above_bytes: 60 };
 
@@ -78,20 +78,20 @@
 }
 
 struct Queue {
-    work: Receiver<Work>,
+    work: Receiver<WriteRequest>,
     /// Planted fault: a rewrite that waits gives way to what was asked for after it.
     rewrites_late: bool,
-    held_back: Vec<Work>,
+    held_back: Vec<WriteRequest>,
 }
 
-impl WorkQueue for Queue {
-    fn wait(&mut self) -> Option<Work> {
+impl RequestQueue for Queue {
+    fn recv(&mut self) -> Option<WriteRequest> {
         self.held_back.pop().or_else(|| self.work.recv().ok())
     }
 
-    fn next_waiting(&mut self) -> Option<Work> {
+    fn try_recv(&mut self) -> Option<WriteRequest> {
         while let Ok(work) = self.work.try_recv() {
-            if !self.rewrites_late || !matches!(work, Work::Rewrite(_)) {
+            if !self.rewrites_late || !matches!(work, WriteRequest::Rewrite(_)) {
                 return Some(work);
             }
             self.held_back.push(work);
@@ -103,8 +103,8 @@
 /// The thread that decides.
 struct Decider {
     disk: PowerFileSystem,
-    work: Sender<Work>,
-    reports: Receiver<Report>,
+    work: Sender<WriteRequest>,
+    reports: Receiver<WriterEvent>,
     next: u64,
 }
 
@@ -112,26 +112,26 @@
     /// Asks for the newest record under a new token.
     fn append(&mut self) {
         self.next += 1;
-        let _ = self.work.send(Work::Append(self.next, vec![self.next as u8]));
+        let _ = self.work.send(WriteRequest::Append(self.next, vec![self.next as u8]));
     }
 
     fn rewrite(&self) {
-        let _ = self.work.send(Work::Rewrite(vec![vec![self.next as u8]]));
+        let _ = self.work.send(WriteRequest::Rewrite(vec![vec![self.next as u8]]));
     }
 
     /// Hears what has become of the work until the newest record is durable. A record that failed is asked for again.
     fn hear_until_durable(&mut self) {
         loop {
             match self.reports.recv().expect("the writer is there") {
-                Report::Persisted(token) => {
+                WriterEvent::Persisted(token) => {
                     self.lose_power(token);
                     if token == self.next {
                         return;
                     }
                 }
-                Report::Failed(token, _) if token == self.next => self.append(),
-                Report::Failed(..) | Report::NotRewritten(_) => {}
-                Report::IsLong => self.rewrite(),
+                WriterEvent::AppendFailed(token, _) if token == self.next => self.append(),
+                WriterEvent::AppendFailed(..) | WriterEvent::RewriteFailed(_) => {}
+                WriterEvent::RewriteNeeded => self.rewrite(),
             }
         }
     }
--- a/src/control_plane/disk.rs
+++ b/src/control_plane/disk.rs
@@ -8,7 +8,7 @@
 use switchhill_control::Input;
 use switchhill_record_log::{Options, StandardFileSystem};
 use switchhill_register::{Member, ReplicaId};
-use switchhill_replica_file::{Identity, Report, Stored, Work, WorkQueue, Writer};
+use switchhill_replica_file::{Identity, OpenedReplica, RequestQueue, WriteRequest, Writer, WriterEvent};
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Size in bytes above which the file is rewritten.
@@ -22,7 +22,7 @@
     folder: &Path,
     address: &str,
     first_voter: bool,
-) -> anyhow::Result<Stored<StandardFileSystem>> {
+) -> anyhow::Result<OpenedReplica<StandardFileSystem>> {
     let options = Options { rewrite_above_bytes: REWRITE_ABOVE };
     let fresh = || match first_voter {
         true => Identity { replica: genesis_replica(address), genesis: true },
@@ -59,7 +59,7 @@
 
 /// The thread that writes.
 pub(super) struct Disk {
-    work: mpsc::Sender<Work>,
+    work: mpsc::Sender<WriteRequest>,
 }
 
 impl Disk {
@@ -72,36 +72,36 @@
 
     /// Appends a record; all that waits is synced together.
     pub(super) fn append(&self, token: u64, record: Vec<u8>) {
-        let _ = self.work.send(Work::Append(token, record));
+        let _ = self.work.send(WriteRequest::Append(token, record));
     }
 
     /// Replaces all records.
     pub(super) fn rewrite(&self, records: Vec<Vec<u8>>) {
-        let _ = self.work.send(Work::Rewrite(records));
+        let _ = self.work.send(WriteRequest::Rewrite(records));
     }
 }
 
-struct Queue(mpsc::Receiver<Work>);
+struct Queue(mpsc::Receiver<WriteRequest>);
 
-impl WorkQueue for Queue {
-    fn wait(&mut self) -> Option<Work> {
+impl RequestQueue for Queue {
+    fn recv(&mut self) -> Option<WriteRequest> {
         self.0.recv().ok()
     }
 
-    fn next_waiting(&mut self) -> Option<Work> {
+    fn try_recv(&mut self) -> Option<WriteRequest> {
         self.0.try_recv().ok()
     }
 }
 
-fn tell(inputs: &UnboundedSender<Input>, report: Report) {
+fn tell(inputs: &UnboundedSender<Input>, report: WriterEvent) {
     let input = match report {
-        Report::Persisted(token) => Input::Persisted(token),
-        Report::Failed(token, error) => {
+        WriterEvent::Persisted(token) => Input::Persisted(token),
+        WriterEvent::AppendFailed(token, error) => {
             log::warn!("the replica's file: {error}");
             Input::PersistFailed(token)
         }
-        Report::IsLong => Input::LogIsLong,
-        Report::NotRewritten(error) => {
+        WriterEvent::RewriteNeeded => Input::LogIsLong,
+        WriterEvent::RewriteFailed(error) => {
             log::warn!("the replica's file could not be rewritten: {error}");
             std::thread::sleep(RETRY_PAUSE);
             return;
