--- a/crates/control/tests/catch_up/files.rs
+++ b/crates/control/tests/catch_up/files.rs
@@ -37,7 +37,7 @@
 impl FileSystem for MemoryFileSystem {
     type File = MemoryFile;
 
-    fn create_folder(&self, _folder: &Path) -> Result<()> {
+    fn create_directory(&self, _folder: &Path) -> Result<()> {
         Ok(())
     }
 
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    fn sync_folder(&self, _folder: &Path) -> Result<()> {
+    fn sync_directory(&self, _folder: &Path) -> Result<()> {
         Ok(())
     }
 }
--- a/crates/record_log/src/error.rs
+++ b/crates/record_log/src/error.rs
@@ -23,7 +23,7 @@
     Rewrite(#[source] io::Error),
     /// The record is longer than a log takes.
     #[error("record of {length} bytes is longer than {limit} bytes")]
-    TooLong {
+    RecordTooLong {
         /// Length of the record in bytes.
         length: usize,
         /// Longest record in bytes.
--- a/crates/record_log/src/file_system.rs
+++ b/crates/record_log/src/file_system.rs
@@ -11,7 +11,7 @@
     type File: LogFile;
 
     /// Creates the folder, and makes its name durable, if it does not exist.
-    fn create_folder(&self, folder: &Path) -> io::Result<()>;
+    fn create_directory(&self, folder: &Path) -> io::Result<()>;
 
     /// Opens a file for reading and writing; an absent one is created empty.
     fn open(&self, path: &Path) -> io::Result<Self::File>;
@@ -26,7 +26,7 @@
     fn remove(&self, path: &Path) -> io::Result<()>;
 
     /// Makes the names in the folder durable.
-    fn sync_folder(&self, folder: &Path) -> io::Result<()>;
+    fn sync_directory(&self, folder: &Path) -> io::Result<()>;
 }
 
 /// Operations on an open file.
@@ -51,13 +51,13 @@
 impl FileSystem for StandardFileSystem {
     type File = File;
 
-    fn create_folder(&self, folder: &Path) -> io::Result<()> {
+    fn create_directory(&self, folder: &Path) -> io::Result<()> {
         if folder.is_dir() {
             return Ok(());
         }
         fs::create_dir_all(folder)?;
         match folder.parent() {
-            Some(parent) if !parent.as_os_str().is_empty() => self.sync_folder(parent),
+            Some(parent) if !parent.as_os_str().is_empty() => self.sync_directory(parent),
             _ => Ok(()),
         }
     }
@@ -78,7 +78,7 @@
         fs::remove_file(path)
     }
 
-    fn sync_folder(&self, folder: &Path) -> io::Result<()> {
+    fn sync_directory(&self, folder: &Path) -> io::Result<()> {
         File::open(folder)?.sync_all()
     }
 }
--- a/crates/record_log/src/log.rs
+++ b/crates/record_log/src/log.rs
@@ -11,7 +11,7 @@
 /// Settings of a log.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Length of the file in bytes above which [`RecordLog::wants_rewrite`] asks for a rewrite.
+    /// Length of the file in bytes above which [`RecordLog::needs_rewrite`] asks for a rewrite.
     pub rewrite_above_bytes: u64,
 }
 
@@ -62,7 +62,7 @@
     ) -> Result<(RecordLog<S>, Vec<Vec<u8>>), LogError> {
         let path = folder.join(format!("{name}.log"));
         let new_path = folder.join(format!("{name}.log.new"));
-        file_system.create_folder(folder).map_err(LogError::Open)?;
+        file_system.create_directory(folder).map_err(LogError::Open)?;
         if file_system.exists(&new_path).map_err(LogError::Open)? {
             file_system.remove(&new_path).map_err(LogError::Open)?;
         }
@@ -74,7 +74,7 @@
         }
         // What was read may not have been synced before the process that wrote it ended.
         file.sync().map_err(LogError::Open)?;
-        file_system.sync_folder(folder).map_err(LogError::Open)?;
+        file_system.sync_directory(folder).map_err(LogError::Open)?;
 
         let end = Position { length: found.length, checksum: found.checksum };
         let log = RecordLog {
@@ -131,7 +131,7 @@
     }
 
     /// Whether the file has grown past its bound since the last rewrite.
-    pub fn wants_rewrite(&self) -> bool {
+    pub fn needs_rewrite(&self) -> bool {
         self.written.length > self.rewrite_above_bytes
     }
 
@@ -197,7 +197,7 @@
 
     fn sync_folder_if_due(&mut self) -> std::io::Result<()> {
         if self.folder_sync_due {
-            self.file_system.sync_folder(&self.folder)?;
+            self.file_system.sync_directory(&self.folder)?;
             self.folder_sync_due = false;
         }
         Ok(())
@@ -215,7 +215,7 @@
 
 fn check_length(record: &[u8]) -> Result<(), LogError> {
     if record.len() > MAX_RECORD_BYTES {
-        return Err(LogError::TooLong { length: record.len(), limit: MAX_RECORD_BYTES });
+        return Err(LogError::RecordTooLong { length: record.len(), limit: MAX_RECORD_BYTES });
     }
     Ok(())
 }
--- a/crates/record_log/tests/fault/mod.rs
+++ b/crates/record_log/tests/fault/mod.rs
@@ -19,7 +19,7 @@
     pub write: u32,
     pub sync: u32,
     pub rename: u32,
-    pub sync_folder: u32,
+    pub sync_directory: u32,
     /// Bytes all files may hold together; `None` is unlimited.
     pub capacity: Option<usize>,
 }
@@ -149,7 +149,7 @@
 impl FileSystem for FaultyFileSystem {
     type File = FaultyFile;
 
-    fn create_folder(&self, _folder: &Path) -> Result<()> {
+    fn create_directory(&self, _folder: &Path) -> Result<()> {
         Ok(())
     }
 
@@ -183,9 +183,9 @@
         Ok(())
     }
 
-    fn sync_folder(&self, _folder: &Path) -> Result<()> {
+    fn sync_directory(&self, _folder: &Path) -> Result<()> {
         let mut state = self.0.borrow_mut();
-        let chance = state.faults.sync_folder;
+        let chance = state.faults.sync_directory;
         if state.fails(chance) {
             return Err(refused("sync of the folder"));
         }
--- a/crates/record_log/tests/power/mod.rs
+++ b/crates/record_log/tests/power/mod.rs
@@ -279,7 +279,7 @@
 impl FileSystem for PowerFileSystem {
     type File = PowerFile;
 
-    fn create_folder(&self, _folder: &Path) -> Result<()> {
+    fn create_directory(&self, _folder: &Path) -> Result<()> {
         Ok(())
     }
 
@@ -321,7 +321,7 @@
         carry_out(&mut state, |state| state.name(path, None))
     }
 
-    fn sync_folder(&self, _folder: &Path) -> Result<()> {
+    fn sync_directory(&self, _folder: &Path) -> Result<()> {
         let mut state = self.0.lock().unwrap();
         carry_out(&mut state, |state| {
             if state.flaw != Some(Flaw::NoFolderSync) {
--- a/crates/record_log/tests/record_log.rs
+++ b/crates/record_log/tests/record_log.rs
@@ -158,7 +158,7 @@
 fn a_rewrite_whose_name_is_not_durable_holds_up_later_syncs() {
     let disk = FaultyFileSystem::new(7);
     let (mut log, _) = open(&disk);
-    disk.set_faults(Faults { sync_folder: 100, ..Faults::default() });
+    disk.set_faults(Faults { sync_directory: 100, ..Faults::default() });
     expect_that!(log.rewrite(&[b"new".to_vec()]), err(pat!(LogError::Rewrite(_))));
     log.append(b"more").unwrap();
     expect_that!(log.sync(), err(pat!(LogError::Sync(_))));
@@ -174,13 +174,13 @@
     let disk = FaultyFileSystem::new(7);
     let (mut log, _) = open(&disk);
     log.append(&[1; 150]).unwrap();
-    expect_that!(log.wants_rewrite(), eq(false));
+    expect_that!(log.needs_rewrite(), eq(false));
     log.append(&[2; 150]).unwrap();
-    expect_that!(log.wants_rewrite(), eq(true));
+    expect_that!(log.needs_rewrite(), eq(true));
     log.rewrite(&[vec![2; 300]]).unwrap();
-    expect_that!(log.wants_rewrite(), eq(false));
+    expect_that!(log.needs_rewrite(), eq(false));
     log.append(&[3; 400]).unwrap();
-    expect_that!(log.wants_rewrite(), eq(true));
+    expect_that!(log.needs_rewrite(), eq(true));
 }
 
 #[gtest]
@@ -188,7 +188,7 @@
     let disk = FaultyFileSystem::new(7);
     let (mut log, _) = open(&disk);
     let long = vec![0; switchhill_record_log::MAX_RECORD_BYTES + 1];
-    expect_that!(log.append(&long), err(pat!(LogError::TooLong { .. })));
+    expect_that!(log.append(&long), err(pat!(LogError::RecordTooLong { .. })));
 }
 
 /// A log under random faults beside what it must give back.
@@ -231,7 +231,7 @@
             write: chance,
             sync: chance,
             rename: chance,
-            sync_folder: chance,
+            sync_directory: chance,
             capacity,
         });
     }
--- a/crates/replica_file/src/writer.rs
+++ b/crates/replica_file/src/writer.rs
@@ -72,7 +72,7 @@
             }
         }
         self.sync(&appended, report);
-        if self.log.wants_rewrite() && !self.asked_rewrite {
+        if self.log.needs_rewrite() && !self.asked_rewrite {
             self.asked_rewrite = true;
             report(WriterEvent::RewriteNeeded);
         }
--- a/crates/replica_file/tests/interleavings.rs
+++ b/crates/replica_file/tests/interleavings.rs
@@ -31,8 +31,8 @@
 impl FileSystem for Interleaved {
     type File = InterleavedFile;
 
-    fn create_folder(&self, folder: &Path) -> Result<()> {
-        self.0.create_folder(folder)
+    fn create_directory(&self, folder: &Path) -> Result<()> {
+        self.0.create_directory(folder)
     }
 
     fn open(&self, path: &Path) -> Result<InterleavedFile> {
@@ -52,9 +52,9 @@
         self.0.remove(path)
     }
 
-    fn sync_folder(&self, folder: &Path) -> Result<()> {
+    fn sync_directory(&self, folder: &Path) -> Result<()> {
         thread::yield_now();
-        self.0.sync_folder(folder)
+        self.0.sync_directory(folder)
     }
 }
 
--- a/lab/src/emulator/disk.rs
+++ b/lab/src/emulator/disk.rs
@@ -155,7 +155,7 @@
                 Err(_) => told.extend(tokens.into_iter().map(Input::PersistFailed)),
             }
         }
-        if log.wants_rewrite() && !self.asked_rewrite {
+        if log.needs_rewrite() && !self.asked_rewrite {
             self.asked_rewrite = true;
             told.push(Input::LogIsLong);
         }
--- a/lab/src/emulator/file_system.rs
+++ b/lab/src/emulator/file_system.rs
@@ -143,7 +143,7 @@
 impl FileSystem for VirtualFileSystem {
     type File = VirtualFile;
 
-    fn create_folder(&self, _folder: &Path) -> Result<()> {
+    fn create_directory(&self, _folder: &Path) -> Result<()> {
         self.0.borrow_mut().operate()
     }
 
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    fn sync_folder(&self, _folder: &Path) -> Result<()> {
+    fn sync_directory(&self, _folder: &Path) -> Result<()> {
         let mut state = self.0.borrow_mut();
         state.operate()?;
         if !state.ignores_folder_syncs {
