--- a/crates/record_log/tests/crash_points.rs
+++ b/crates/record_log/tests/crash_points.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use power::{Choices, Flaw, PowerFileSystem, Trouble};
+use power::{Choices, Fault, InjectedBug, PowerLossFileSystem};
 use switchhill_record_log::{Options, RecordLog};
 
 const OPTIONS: Options = Options { rewrite_above_bytes: 1_000 };
@@ -37,8 +37,8 @@
 
 /// A log beside what it must give back.
 struct Owner {
-    disk: PowerFileSystem,
-    log: Option<RecordLog<PowerFileSystem>>,
+    disk: PowerLossFileSystem,
+    log: Option<RecordLog<PowerLossFileSystem>>,
     /// Whether the name is durable.
     named: bool,
     /// Number of the newest state that is durable.
@@ -52,8 +52,8 @@
 }
 
 impl Owner {
-    fn new(flaw: Option<Flaw>) -> Owner {
-        let disk = PowerFileSystem::new(flaw);
+    fn new(bug: Option<InjectedBug>) -> Owner {
+        let disk = PowerLossFileSystem::new(bug);
         Owner { disk, log: None, named: false, durable: 0, held: 0, newest: 0, gapless: true }
     }
 
@@ -137,8 +137,8 @@
 
     /// Starts again, ended once more in the middle of it or not.
     fn start_again(&mut self, choices: &mut Choices) -> std::result::Result<(), String> {
-        let ends_at = if choices.is_coarse() { 0 } else { choices.choose(OPERATIONS_OF_OPEN + 1) };
-        self.disk.plan((ends_at > 0).then(|| (ends_at - 1, Trouble::Ends)));
+        let crash_at = if choices.is_coarse() { 0 } else { choices.choose(OPERATIONS_OF_OPEN + 1) };
+        self.disk.inject_fault((crash_at > 0).then(|| (crash_at - 1, Fault::Crash)));
         let started = self.start();
         if self.log.is_none() {
             self.end(choices);
@@ -149,7 +149,7 @@
 
     /// The log goes on after a start: what is appended now is what follows.
     fn go_on(&mut self, choices: &mut Choices) -> std::result::Result<(), String> {
-        self.disk.plan(None);
+        self.disk.inject_fault(None);
         if choices.choose(2) == 1 {
             // What was read has been acted on.
             self.log = None;
@@ -170,23 +170,23 @@
     }
 }
 
-/// Runs a script with trouble at one operation, ends the process at another, and tries every outcome. Returns the number
+/// Runs a script with fault at one operation, ends the process at another, and tries every outcome. Returns the number
 /// of cases, or what is wrong with one of them; `None` if the script ends before.
 fn try_all(
     script: &[Step],
-    flaw: Option<Flaw>,
-    trouble: Option<(usize, Trouble)>,
-    ends_at: usize,
+    bug: Option<InjectedBug>,
+    fault: Option<(usize, Fault)>,
+    crash_at: usize,
 ) -> std::result::Result<Option<usize>, String> {
-    let mut choices = if trouble.is_some() { Choices::coarse() } else { Choices::default() };
+    let mut choices = if fault.is_some() { Choices::coarse() } else { Choices::default() };
     let mut cases = 0;
     loop {
-        let mut owner = Owner::new(flaw);
-        let past_the_end = run_to(&mut owner, script, trouble, ends_at)?;
+        let mut owner = Owner::new(bug);
+        let past_the_end = run_to(&mut owner, script, fault, crash_at)?;
         let tried = end_and_check(&mut owner, &mut choices);
         tried.map_err(|error| {
             let taken = choices.taken();
-            format!("{error}; {script:?}, {trouble:?}, ended at {ends_at}, choices {taken:?}, {flaw:?}")
+            format!("{error}; {script:?}, {fault:?}, ended at {crash_at}, choices {taken:?}, {bug:?}")
         })?;
         cases += 1;
         if !choices.advance() {
@@ -199,22 +199,22 @@
 fn run_to(
     owner: &mut Owner,
     script: &[Step],
-    trouble: Option<(usize, Trouble)>,
-    ends_at: usize,
+    fault: Option<(usize, Fault)>,
+    crash_at: usize,
 ) -> std::result::Result<bool, String> {
-    match trouble {
+    match fault {
         None => {
-            owner.disk.plan(Some((ends_at, Trouble::Ends)));
+            owner.disk.inject_fault(Some((crash_at, Fault::Crash)));
             owner.start()?;
             owner.run(script);
-            Ok(!owner.disk.ended())
+            Ok(!owner.disk.crashed())
         }
-        Some(trouble) => {
+        Some(fault) => {
             // The process ends after a step here.
-            owner.disk.plan(Some(trouble));
+            owner.disk.inject_fault(Some(fault));
             owner.start()?;
-            owner.run(&script[..ends_at.min(script.len())]);
-            Ok(ends_at >= script.len())
+            owner.run(&script[..crash_at.min(script.len())]);
+            Ok(crash_at >= script.len())
         }
     }
 }
@@ -226,11 +226,11 @@
 }
 
 /// All scripts, ended at each operation. Returns the number of cases.
-fn try_every_end(flaw: Option<Flaw>) -> std::result::Result<usize, String> {
+fn try_every_end(bug: Option<InjectedBug>) -> std::result::Result<usize, String> {
     let mut cases = 0;
     for script in SCRIPTS {
-        for ends_at in 0.. {
-            match try_all(script, flaw, None, ends_at)? {
+        for crash_at in 0.. {
+            match try_all(script, bug, None, crash_at)? {
                 Some(tried) => cases += tried,
                 None => break,
             }
@@ -240,19 +240,19 @@
 }
 
 /// All scripts with one operation refused, ended after each step. Returns the number of cases.
-fn try_every_refusal(trouble: Trouble) -> std::result::Result<usize, String> {
+fn try_every_refusal(fault: Fault) -> std::result::Result<usize, String> {
     let mut cases = 0;
     for script in SCRIPTS {
         let undisturbed = {
             let mut owner = Owner::new(None);
-            owner.disk.plan(None);
+            owner.disk.inject_fault(None);
             owner.start()?;
             owner.run(script);
             owner.disk.operations()
         };
         for refused in 0..undisturbed {
-            for ends_at in 0..=script.len() {
-                cases += try_all(script, None, Some((refused, trouble)), ends_at)?.unwrap_or(0);
+            for crash_at in 0..=script.len() {
+                cases += try_all(script, None, Some((refused, fault)), crash_at)?.unwrap_or(0);
             }
         }
     }
@@ -268,25 +268,30 @@
 
 #[gtest]
 fn every_refusal_and_loss_of_power_after_it_is_read_rightly() {
-    let cases = try_every_refusal(Trouble::Refused);
+    let cases = try_every_refusal(Fault::Error);
     println!("{cases:?} cases");
     expect_that!(cases.unwrap_or_else(|failure| panic!("{failure}")), gt(10_000));
 }
 
 #[gtest]
 fn an_operation_that_fails_after_it_was_carried_out_is_read_rightly() {
-    let cases = try_every_refusal(Trouble::DoneButRefused);
+    let cases = try_every_refusal(Fault::ErrorAfterCompletion);
     println!("{cases:?} cases");
     expect_that!(cases.unwrap_or_else(|failure| panic!("{failure}")), gt(10_000));
 }
 
 #[gtest]
 fn a_step_left_out_is_noticed() {
-    let flaws =
-        [Flaw::NoFolderSync, Flaw::RenameBeforeSync, Flaw::NoFileSync, Flaw::NoSyncAtStart, Flaw::TailKept];
-    for flaw in flaws {
-        let noticed = try_every_end(Some(flaw));
-        println!("{flaw:?}: {noticed:?}");
-        expect_that!(noticed, err(anything()), "{flaw:?}");
+    let bugs = [
+        InjectedBug::NoDirectorySync,
+        InjectedBug::RenameBeforeSync,
+        InjectedBug::NoFileSync,
+        InjectedBug::NoSyncOnOpen,
+        InjectedBug::TailNotTruncated,
+    ];
+    for bug in bugs {
+        let noticed = try_every_end(Some(bug));
+        println!("{bug:?}: {noticed:?}");
+        expect_that!(noticed, err(anything()), "{bug:?}");
     }
 }
--- a/crates/record_log/tests/power/mod.rs
+++ b/crates/record_log/tests/power/mod.rs
@@ -1,8 +1,8 @@
-//! An in-memory file system whose every loss of power can be tried, one outcome after the other.
+//! An in-memory file system that enumerates every outcome of a power loss.
 //!
-//! Stricter than the one that draws its faults: a name lasts only once its folder has been synced, also that of a new
-//! file, and each change of a name is kept or lost by itself.
-#![allow(dead_code, reason = "each test file uses some of this")]
+//! Stricter than the randomized file system in `fault`: a directory entry, also that of a new file, is durable only
+//! after a sync of its directory, and each unsynced change of an entry is kept or lost independently.
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
@@ -13,38 +13,38 @@
 
 type FileId = usize;
 
-/// The choices of one case; [`Choices::advance`] goes on to the next case until all have been tried.
+/// The choices made in one case; [`Choices::advance`] enumerates the cases in depth-first order.
 #[derive(Default)]
 pub struct Choices {
     taken: Vec<(usize, usize)>,
     next: usize,
-    /// Whether writes are torn in their middle only, so that there are fewer cases.
+    /// Whether writes are torn at their midpoint only, which reduces the number of cases.
     coarse: bool,
 }
 
 impl Choices {
-    /// Choices among fewer cases: writes are torn in their middle only.
+    /// Enumerates fewer cases: writes are torn at their midpoint only.
     pub fn coarse() -> Choices {
         Choices { coarse: true, ..Choices::default() }
     }
 
-    /// Whether there are to be fewer cases.
+    /// Whether writes are torn at their midpoint only.
     pub fn is_coarse(&self) -> bool {
         self.coarse
     }
 
-    /// One of `count` alternatives.
+    /// Chooses one of `count` alternatives.
     pub fn choose(&mut self, count: usize) -> usize {
         if self.next == self.taken.len() {
             self.taken.push((0, count));
         }
         let (choice, known) = self.taken[self.next];
-        assert_eq!(known, count, "the case is not the same each time");
+        assert_eq!(known, count, "the test is not deterministic: the number of alternatives changed");
         self.next += 1;
         choice
     }
 
-    /// Goes on to the next case; false after the last one.
+    /// Advances to the next case; returns false after the last one.
     pub fn advance(&mut self) -> bool {
         self.next = 0;
         while let Some((choice, count)) = self.taken.pop() {
@@ -62,30 +62,30 @@
     }
 }
 
-/// What goes wrong with one operation.
+/// A fault injected into one operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// The process ends just before it.
-    Ends,
-    /// It is refused. Half of a write has been made.
-    Refused,
-    /// It is refused although it has been carried out.
-    DoneButRefused,
+pub enum Fault {
+    /// The process crashes just before the operation.
+    Crash,
+    /// The operation fails. A write has stored half of its bytes.
+    Error,
+    /// The operation reports an error although it was completed.
+    ErrorAfterCompletion,
 }
 
-/// A planted fault: a step that the log leaves out.
+/// A bug injected into the log: a step that it omits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
-    /// The folder is never synced.
-    NoFolderSync,
-    /// The replacement gets its name before it is synced.
+pub enum InjectedBug {
+    /// The directory is never synced.
+    NoDirectorySync,
+    /// The replacement file is renamed before it is synced.
     RenameBeforeSync,
     /// Appended records are not synced.
     NoFileSync,
-    /// What is read at the start is not synced.
-    NoSyncAtStart,
-    /// Bytes behind the last valid record are not cut off.
-    TailKept,
+    /// The content read on open is not synced.
+    NoSyncOnOpen,
+    /// Bytes after the last valid record are not truncated.
+    TailNotTruncated,
 }
 
 #[derive(Clone)]
@@ -108,61 +108,61 @@
     durable_names: BTreeMap<PathBuf, FileId>,
     unsynced_names: Vec<(PathBuf, Option<FileId>)>,
     operations: usize,
-    trouble: Option<(usize, Trouble)>,
-    ended: bool,
-    flaw: Option<Flaw>,
+    fault: Option<(usize, Fault)>,
+    crashed: bool,
+    bug: Option<InjectedBug>,
 }
 
 /// A handle to the file system; clones share it.
 #[derive(Clone, Default)]
-pub struct PowerFileSystem(Arc<Mutex<State>>);
+pub struct PowerLossFileSystem(Arc<Mutex<State>>);
 
 /// An open file.
-pub struct PowerFile {
+pub struct PowerLossFile {
     state: Arc<Mutex<State>>,
     id: FileId,
     replacement: bool,
     synced_before: bool,
 }
 
-impl PowerFileSystem {
-    pub fn new(flaw: Option<Flaw>) -> PowerFileSystem {
-        PowerFileSystem(Arc::new(Mutex::new(State { flaw, ..State::default() })))
+impl PowerLossFileSystem {
+    pub fn new(bug: Option<InjectedBug>) -> PowerLossFileSystem {
+        PowerLossFileSystem(Arc::new(Mutex::new(State { bug, ..State::default() })))
     }
 
-    /// Plans trouble for the operation with this number, counted from now.
-    pub fn plan(&self, trouble: Option<(usize, Trouble)>) {
+    /// Injects a fault into the operation with this index, counted from this call.
+    pub fn inject_fault(&self, fault: Option<(usize, Fault)>) {
         let mut state = self.0.lock().unwrap();
         state.operations = 0;
-        state.trouble = trouble;
+        state.fault = fault;
     }
 
-    /// Operations since the last plan.
+    /// Number of operations since the last call of [`PowerLossFileSystem::inject_fault`].
     pub fn operations(&self) -> usize {
         self.0.lock().unwrap().operations
     }
 
-    /// Whether the process has ended.
-    pub fn ended(&self) -> bool {
-        self.0.lock().unwrap().ended
+    /// Whether the process has crashed.
+    pub fn crashed(&self) -> bool {
+        self.0.lock().unwrap().crashed
     }
 
-    /// Starts a new process; the disk is as it was.
+    /// Starts a new process on the unchanged disk.
     pub fn restart(&self) {
         let mut state = self.0.lock().unwrap();
-        state.ended = false;
-        state.trouble = None;
+        state.crashed = false;
+        state.fault = None;
     }
 
-    /// A copy of the disk as it is now, for a process of its own.
-    pub fn snapshot(&self) -> PowerFileSystem {
+    /// Returns an independent copy of the current disk state.
+    pub fn snapshot(&self) -> PowerLossFileSystem {
         let mut state = self.0.lock().unwrap().clone();
-        state.trouble = None;
-        state.ended = false;
-        PowerFileSystem(Arc::new(Mutex::new(state)))
+        state.fault = None;
+        state.crashed = false;
+        PowerLossFileSystem(Arc::new(Mutex::new(state)))
     }
 
-    /// Loses power: what was not synced is there, missing or torn as `choices` say.
+    /// Simulates a power loss: `choices` decide whether each unsynced change is kept, lost or torn.
     pub fn lose_power(&self, choices: &mut Choices) {
         let mut state = self.0.lock().unwrap();
         for file in &mut state.files {
@@ -202,7 +202,7 @@
         self.unsynced.clear();
     }
 
-    /// Each change is missing, whole, or torn: its beginning up to any byte, or its second half alone.
+    /// Each unsynced change is lost, kept or torn; a torn write keeps a prefix of any length or its second half.
     fn lose_power(&mut self, choices: &mut Choices) {
         for change in std::mem::take(&mut self.unsynced) {
             let kept = match change {
@@ -229,24 +229,24 @@
 }
 
 impl State {
-    /// Counts an operation; the trouble planned for it.
-    fn begin(&mut self) -> Result<Option<Trouble>> {
-        if self.ended {
-            return Err(ended());
+    /// Counts an operation and returns the fault injected into it.
+    fn begin(&mut self) -> Result<Option<Fault>> {
+        if self.crashed {
+            return Err(crashed());
         }
         let number = self.operations;
         self.operations += 1;
-        match self.trouble {
-            Some((planned, Trouble::Ends)) if planned == number => {
-                self.ended = true;
-                Err(ended())
+        match self.fault {
+            Some((index, Fault::Crash)) if index == number => {
+                self.crashed = true;
+                Err(crashed())
             }
-            Some((planned, trouble)) if planned == number => Ok(Some(trouble)),
+            Some((index, fault)) if index == number => Ok(Some(fault)),
             _ => Ok(None),
         }
     }
 
-    fn name(&mut self, name: &Path, id: Option<FileId>) {
+    fn set_entry(&mut self, name: &Path, id: Option<FileId>) {
         match id {
             Some(id) => self.names.insert(name.to_path_buf(), id),
             None => self.names.remove(name),
@@ -255,51 +255,51 @@
     }
 }
 
-fn ended() -> Error {
-    Error::other("the process has ended")
+fn crashed() -> Error {
+    Error::other("the process has crashed")
 }
 
-fn refused() -> Error {
+fn storage_full() -> Error {
     Error::from(ErrorKind::StorageFull)
 }
 
-/// Carries out an operation that happens as a whole or not at all.
-fn carry_out(state: &mut State, operation: impl FnOnce(&mut State)) -> Result<()> {
+/// Runs an operation that takes effect completely or not at all.
+fn run_atomic(state: &mut State, operation: impl FnOnce(&mut State)) -> Result<()> {
     match state.begin()? {
         None => operation(state),
-        Some(Trouble::DoneButRefused) => {
+        Some(Fault::ErrorAfterCompletion) => {
             operation(state);
-            return Err(refused());
+            return Err(storage_full());
         }
-        Some(_) => return Err(refused()),
+        Some(_) => return Err(storage_full()),
     }
     Ok(())
 }
 
-impl FileSystem for PowerFileSystem {
-    type File = PowerFile;
+impl FileSystem for PowerLossFileSystem {
+    type File = PowerLossFile;
 
-    fn create_directory(&self, _folder: &Path) -> Result<()> {
+    fn create_directory(&self, _directory: &Path) -> Result<()> {
         Ok(())
     }
 
-    fn open(&self, path: &Path) -> Result<PowerFile> {
+    fn open(&self, path: &Path) -> Result<PowerLossFile> {
         let mut state = self.0.lock().unwrap();
         if !state.names.contains_key(path) {
-            carry_out(&mut state, |state| {
+            run_atomic(&mut state, |state| {
                 state.files.push(Content::default());
                 let id = state.files.len() - 1;
-                state.name(path, Some(id));
+                state.set_entry(path, Some(id));
             })?;
         }
         let replacement = path.extension().is_some_and(|extension| extension == "new");
-        Ok(PowerFile { state: self.0.clone(), id: state.names[path], replacement, synced_before: false })
+        Ok(PowerLossFile { state: self.0.clone(), id: state.names[path], replacement, synced_before: false })
     }
 
     fn exists(&self, path: &Path) -> Result<bool> {
         let state = self.0.lock().unwrap();
-        if state.ended {
-            return Err(ended());
+        if state.crashed {
+            return Err(crashed());
         }
         Ok(state.names.contains_key(path))
     }
@@ -307,9 +307,9 @@
     fn rename(&self, from: &Path, to: &Path) -> Result<()> {
         let mut state = self.0.lock().unwrap();
         let id = *state.names.get(from).ok_or(ErrorKind::NotFound)?;
-        carry_out(&mut state, |state| {
-            state.name(to, Some(id));
-            state.name(from, None);
+        run_atomic(&mut state, |state| {
+            state.set_entry(to, Some(id));
+            state.set_entry(from, None);
         })
     }
 
@@ -318,13 +318,13 @@
         if !state.names.contains_key(path) {
             return Err(ErrorKind::NotFound.into());
         }
-        carry_out(&mut state, |state| state.name(path, None))
+        run_atomic(&mut state, |state| state.set_entry(path, None))
     }
 
-    fn sync_directory(&self, _folder: &Path) -> Result<()> {
+    fn sync_directory(&self, _directory: &Path) -> Result<()> {
         let mut state = self.0.lock().unwrap();
-        carry_out(&mut state, |state| {
-            if state.flaw != Some(Flaw::NoFolderSync) {
+        run_atomic(&mut state, |state| {
+            if state.bug != Some(InjectedBug::NoDirectorySync) {
                 state.durable_names = state.names.clone();
                 state.unsynced_names.clear();
             }
@@ -332,36 +332,36 @@
     }
 }
 
-impl PowerFile {
-    fn sync_is_left_out(&self, flaw: Option<Flaw>) -> bool {
-        match flaw {
-            Some(Flaw::RenameBeforeSync) => self.replacement && !self.synced_before,
-            Some(Flaw::NoFileSync) => !self.replacement && self.synced_before,
-            Some(Flaw::NoSyncAtStart) => !self.replacement && !self.synced_before,
+impl PowerLossFile {
+    fn omits_sync(&self, bug: Option<InjectedBug>) -> bool {
+        match bug {
+            Some(InjectedBug::RenameBeforeSync) => self.replacement && !self.synced_before,
+            Some(InjectedBug::NoFileSync) => !self.replacement && self.synced_before,
+            Some(InjectedBug::NoSyncOnOpen) => !self.replacement && !self.synced_before,
             _ => false,
         }
     }
 }
 
-impl LogFile for PowerFile {
+impl LogFile for PowerLossFile {
     fn read_all(&mut self) -> Result<Vec<u8>> {
         Ok(self.state.lock().unwrap().files[self.id].current.clone())
     }
 
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> Result<()> {
         let mut state = self.state.lock().unwrap();
-        let trouble = state.begin()?;
-        let written = if trouble == Some(Trouble::Refused) { bytes.len() / 2 } else { bytes.len() };
+        let fault = state.begin()?;
+        let written = if fault == Some(Fault::Error) { bytes.len() / 2 } else { bytes.len() };
         let change = Change::Write { offset: offset as usize, bytes: bytes[..written].to_vec() };
         state.files[self.id].change(change);
-        trouble.map_or(Ok(()), |_| Err(refused()))
+        fault.map_or(Ok(()), |_| Err(storage_full()))
     }
 
     fn set_length(&mut self, length: u64) -> Result<()> {
         let mut state = self.state.lock().unwrap();
         let id = self.id;
-        carry_out(&mut state, |state| {
-            if state.flaw != Some(Flaw::TailKept) {
+        run_atomic(&mut state, |state| {
+            if state.bug != Some(InjectedBug::TailNotTruncated) {
                 state.files[id].change(Change::Length(length as usize));
             }
         })
@@ -370,10 +370,10 @@
     fn sync(&mut self) -> Result<()> {
         let state = self.state.clone();
         let mut state = state.lock().unwrap();
-        let left_out = self.sync_is_left_out(state.flaw);
+        let omitted = self.omits_sync(state.bug);
         let id = self.id;
-        carry_out(&mut state, |state| {
-            if !left_out {
+        run_atomic(&mut state, |state| {
+            if !omitted {
                 state.files[id].sync();
             }
         })?;
--- a/crates/replica_file/src/lib.rs
+++ b/crates/replica_file/src/lib.rs
@@ -1,11 +1,11 @@
-//! The file of one replica: its identity, its records, and what its writer does with the work that waits.
+//! Durable storage of one replica: its identity, its records and the writer that batches write requests.
 //!
-//! Identity and records stand in one [`RecordLog`], the identity first, so that no loss of power keeps one without the
-//! other: the checksum of each record covers the one before. A new identity is durable before [`open`] returns, hence
-//! before the replica says anything.
+//! Identity and records are stored in one [`RecordLog`], the identity first. The checksum of each record covers the
+//! checksum before it, so records never survive a power loss without the identity. A new identity is durable before
+//! [`open`] returns, hence before the replica sends any message.
 //!
-//! The [`Writer`] is handed its work in the order in which it was asked for and tells what has become of it. It owns no
-//! thread and no channel; [`Writer::run`] takes the one that work comes through as a [`RequestQueue`].
+//! The [`Writer`] processes requests in the order in which they were made and reports the result of each. It owns no
+//! thread and no channel; [`Writer::run`] takes its requests from a [`RequestQueue`].
 
 mod identity;
 mod writer;
@@ -17,41 +17,41 @@
 pub use identity::Identity;
 pub use writer::{RequestQueue, WriteRequest, Writer, WriterEvent};
 
-use identity::{read_identity, register_record};
+use identity::{decode_identity, decode_register_record};
 
-/// Name of the file.
+/// Name of the log, without its extension.
 const LOG_NAME: &str = "replica";
 
-/// What the disk holds at the start.
+/// A replica's file after [`open`], with the content read from it.
 pub struct OpenedReplica<S: FileSystem> {
-    /// Writes to the file.
+    /// Writer of the file.
     pub writer: Writer<S>,
     /// Identity of the replica.
     pub identity: Identity,
-    /// The register's records.
+    /// Records of the register, oldest first.
     pub records: Vec<Vec<u8>>,
 }
 
-/// Opens the file in `folder`. An empty one is given the identity `fresh` first, which is durable on return.
+/// Opens the replica's file in `directory`. If it holds no identity, `new_identity` is written and synced first.
 ///
 /// # Errors
 /// The file cannot be opened, or the new identity cannot be written.
 pub fn open<S: FileSystem>(
     file_system: S,
-    folder: &Path,
+    directory: &Path,
     options: Options,
-    fresh: impl FnOnce() -> Identity,
+    new_identity: impl FnOnce() -> Identity,
 ) -> Result<OpenedReplica<S>, LogError> {
-    let (mut log, records) = RecordLog::open_with(file_system, folder, LOG_NAME, options)?;
-    let identity = match records.iter().find_map(|record| read_identity(record)) {
+    let (mut log, records) = RecordLog::open_with(file_system, directory, LOG_NAME, options)?;
+    let identity = match records.iter().find_map(|record| decode_identity(record)) {
         Some(identity) => identity,
         None => {
-            let identity = fresh();
-            log.append(&identity.record())?;
+            let identity = new_identity();
+            log.append(&identity.encode())?;
             log.sync()?;
             identity
         }
     };
-    let records = records.into_iter().filter_map(register_record).collect();
+    let records = records.into_iter().filter_map(decode_register_record).collect();
     Ok(OpenedReplica { writer: Writer::new(log, identity), identity, records })
 }
--- a/crates/replica_file/src/writer.rs
+++ b/crates/replica_file/src/writer.rs
@@ -1,38 +1,38 @@
-//! What is done with the work that waits for the disk.
+//! The writer, which batches write requests and syncs each batch once.
 
 use switchhill_record_log::{FileSystem, LogError, RecordLog};
 
-use crate::identity::tagged;
+use crate::identity::encode_register_record;
 use crate::Identity;
 
-/// Work for the disk.
+/// A request to change the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteRequest {
-    /// Append a record; its token is told once the record is durable.
+    /// Appends a record; its token is reported once the record is durable.
     Append(u64, Vec<u8>),
-    /// Replace all records by these, which stand for everything asked for before.
+    /// Replaces all records by these, which must include the effect of every earlier request.
     Rewrite(Vec<Vec<u8>>),
 }
 
-/// What has become of the work.
+/// What the writer reports to the owner of the file.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// All records up to this token are durable, except those reported as failed.
+    /// All records up to this token are durable, except those reported as [`WriterEvent::AppendFailed`].
     Persisted(u64),
-    /// The record of this token is not in the file.
+    /// The record of this token is not part of the file, for the reason given.
     AppendFailed(u64, String),
-    /// The file is long: a rewrite is asked for.
+    /// The file has exceeded its size limit; the owner should request a rewrite.
     RewriteNeeded,
-    /// The file was not rewritten; it will be asked for again once it has grown further.
+    /// The rewrite failed; [`WriterEvent::RewriteNeeded`] follows again once the file has grown further.
     RewriteFailed(LogError),
 }
 
-/// Where work comes from, in the order in which it was asked for.
+/// Source of write requests, in the order in which they were made.
 pub trait RequestQueue {
-    /// The next work; waits for it. None once nobody can ask for more.
+    /// Blocks until the next request; `None` once all senders are gone.
     fn recv(&mut self) -> Option<WriteRequest>;
 
-    /// The next work, if some waits already.
+    /// Returns the next request if one is queued already.
     fn try_recv(&mut self) -> Option<WriteRequest>;
 }
 
@@ -40,40 +40,42 @@
 pub struct Writer<S: FileSystem> {
     log: RecordLog<S>,
     identity: Identity,
-    asked_rewrite: bool,
+    rewrite_requested: bool,
 }
 
 impl<S: FileSystem> Writer<S> {
     pub(crate) fn new(log: RecordLog<S>, identity: Identity) -> Writer<S> {
-        Writer { log, identity, asked_rewrite: false }
+        Writer { log, identity, rewrite_requested: false }
     }
 
-    /// Carries out work until nobody can ask for more. All that waits is written together and synced once.
+    /// Processes requests until all senders are gone. All queued requests form one batch, which is synced once.
     pub fn run(mut self, queue: &mut impl RequestQueue, report: &mut impl FnMut(WriterEvent)) {
         while let Some(first) = queue.recv() {
             let mut batch = vec![first];
-            while let Some(work) = queue.try_recv() {
-                batch.push(work);
+            while let Some(request) = queue.try_recv() {
+                batch.push(request);
             }
             self.process_batch(batch, report);
         }
     }
 
-    /// Carries out one batch. Failures are told before the success that would cover their tokens.
+    /// Processes one batch. Failures are reported before the [`WriterEvent::Persisted`] whose range includes their tokens.
     pub fn process_batch(&mut self, batch: Vec<WriteRequest>, report: &mut impl FnMut(WriterEvent)) {
         let mut appended = Vec::new();
-        for work in batch {
-            match work {
-                WriteRequest::Append(token, record) => match self.log.append(&tagged(&record)) {
-                    Ok(()) => appended.push(token),
-                    Err(error) => report(WriterEvent::AppendFailed(token, error.to_string())),
-                },
+        for request in batch {
+            match request {
+                WriteRequest::Append(token, record) => {
+                    match self.log.append(&encode_register_record(&record)) {
+                        Ok(()) => appended.push(token),
+                        Err(error) => report(WriterEvent::AppendFailed(token, error.to_string())),
+                    }
+                }
                 WriteRequest::Rewrite(records) => self.rewrite(&records, report),
             }
         }
         self.sync(&appended, report);
-        if self.log.needs_rewrite() && !self.asked_rewrite {
-            self.asked_rewrite = true;
+        if self.log.needs_rewrite() && !self.rewrite_requested {
+            self.rewrite_requested = true;
             report(WriterEvent::RewriteNeeded);
         }
     }
@@ -90,9 +92,9 @@
     }
 
     fn rewrite(&mut self, records: &[Vec<u8>], report: &mut impl FnMut(WriterEvent)) {
-        let mut all = vec![self.identity.record()];
-        all.extend(records.iter().map(|record| tagged(record)));
-        self.asked_rewrite = false;
+        let mut all = vec![self.identity.encode()];
+        all.extend(records.iter().map(|record| encode_register_record(record)));
+        self.rewrite_requested = false;
         if let Err(error) = self.log.rewrite(&all) {
             report(WriterEvent::RewriteFailed(error));
         }
--- a/crates/replica_file/tests/identity.rs
+++ b/crates/replica_file/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Identity and records of a replica, ended at each operation of the file, with every outcome of a loss of power.
+//! Crashes a replica at each file operation and checks its identity and records after every outcome of a power loss.
 
 #[path = "../../record_log/tests/power/mod.rs"]
 mod power;
@@ -6,35 +6,35 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use power::{Choices, Flaw, PowerFileSystem, Trouble};
+use power::{Choices, Fault, InjectedBug, PowerLossFileSystem};
 use switchhill_record_log::Options;
 use switchhill_replica_file::{open, Identity, OpenedReplica, WriteRequest, WriterEvent};
 
 const OPTIONS: Options = Options { rewrite_above_bytes: 1_000 };
 
-/// The identity that the first life takes; each further life offers another one.
-const FIRST: Identity = Identity { replica: 7, genesis: true };
+/// The identity offered at the first start; each restart offers another one.
+const FIRST_IDENTITY: Identity = Identity { replica: 7, genesis: true };
 
-/// What a replica has been told so far.
+/// A replica and what its storage has confirmed so far.
 struct Replica {
-    disk: PowerFileSystem,
-    /// The identity under which it may have spoken.
-    spoke_as: Option<Identity>,
-    /// The newest state told to be durable.
+    disk: PowerLossFileSystem,
+    /// The identity that [`open`] returned first and that peers may have seen.
+    used_identity: Option<Identity>,
+    /// The newest state reported as durable.
     durable: u8,
 }
 
 impl Replica {
     fn start(
         &mut self,
-        fresh: Identity,
-    ) -> std::result::Result<Option<OpenedReplica<PowerFileSystem>>, String> {
-        let Ok(stored) = open(self.disk.clone(), Path::new("/data"), OPTIONS, || fresh) else {
+        new_identity: Identity,
+    ) -> std::result::Result<Option<OpenedReplica<PowerLossFileSystem>>, String> {
+        let Ok(stored) = open(self.disk.clone(), Path::new("/data"), OPTIONS, || new_identity) else {
             return Ok(None);
         };
-        let spoke_as = *self.spoke_as.get_or_insert(stored.identity);
-        if stored.identity != spoke_as {
-            return Err(format!("it spoke as {spoke_as:?} and is {:?} now", stored.identity));
+        let used_identity = *self.used_identity.get_or_insert(stored.identity);
+        if stored.identity != used_identity {
+            return Err(format!("the replica used {used_identity:?} and is {:?} now", stored.identity));
         }
         let newest = stored.records.last().map_or(0, |record| record[0]);
         if newest < self.durable {
@@ -43,8 +43,8 @@
         Ok(Some(stored))
     }
 
-    /// A batch with a rewrite in the middle, then two rewrites in a row.
-    fn work(&mut self, mut stored: OpenedReplica<PowerFileSystem>) {
+    /// Writes batches, among them one with a rewrite in the middle and one with two consecutive rewrites.
+    fn write_batches(&mut self, mut stored: OpenedReplica<PowerLossFileSystem>) {
         let batches = [
             vec![WriteRequest::Append(1, vec![1])],
             vec![
@@ -65,26 +65,26 @@
     }
 }
 
-/// Ends the first life at each operation in turn and tries every outcome; returns the number of cases.
-fn try_every_end(flaw: Option<Flaw>) -> std::result::Result<usize, String> {
+/// Crashes the first process at each operation in turn and tries every outcome; returns the number of cases.
+fn try_every_crash(bug: Option<InjectedBug>) -> std::result::Result<usize, String> {
     let mut cases = 0;
-    for ends_at in 0.. {
+    for crash_at in 0.. {
         let mut choices = Choices::default();
         loop {
-            let disk = PowerFileSystem::new(flaw);
-            let mut replica = Replica { disk: disk.clone(), spoke_as: None, durable: 0 };
-            disk.plan(Some((ends_at, Trouble::Ends)));
-            if let Some(stored) = replica.start(FIRST)? {
-                replica.work(stored);
+            let disk = PowerLossFileSystem::new(bug);
+            let mut replica = Replica { disk: disk.clone(), used_identity: None, durable: 0 };
+            disk.inject_fault(Some((crash_at, Fault::Crash)));
+            if let Some(stored) = replica.start(FIRST_IDENTITY)? {
+                replica.write_batches(stored);
             }
-            if !disk.ended() {
+            if !disk.crashed() {
                 return Ok(cases);
             }
             disk.lose_power(&mut choices);
             disk.restart();
             replica
                 .start(Identity { replica: 8, genesis: false })
-                .map_err(|error| format!("{error}; ended at {ends_at}, {:?}, {flaw:?}", choices.taken()))?;
+                .map_err(|error| format!("{error}; crashed at {crash_at}, {:?}, {bug:?}", choices.taken()))?;
             cases += 1;
             if !choices.advance() {
                 break;
@@ -95,32 +95,32 @@
 }
 
 #[gtest]
-fn a_replica_that_spoke_keeps_its_identity_and_what_was_durable() {
-    let cases = try_every_end(None).unwrap_or_else(|failure| panic!("{failure}"));
+fn identity_and_durable_records_survive_a_crash_at_any_operation() {
+    let cases = try_every_crash(None).unwrap_or_else(|failure| panic!("{failure}"));
     println!("{cases} cases");
     expect_that!(cases, gt(300));
 }
 
 #[gtest]
-fn a_step_left_out_is_noticed() {
-    for flaw in [Flaw::NoFolderSync, Flaw::RenameBeforeSync, Flaw::NoFileSync] {
-        let noticed = try_every_end(Some(flaw));
-        println!("{flaw:?}: {noticed:?}");
-        expect_that!(noticed, err(anything()), "{flaw:?}");
+fn injected_bugs_are_detected() {
+    for bug in [InjectedBug::NoDirectorySync, InjectedBug::RenameBeforeSync, InjectedBug::NoFileSync] {
+        let detected = try_every_crash(Some(bug));
+        println!("{bug:?}: {detected:?}");
+        expect_that!(detected, err(anything()), "{bug:?}");
     }
 }
 
 #[gtest]
-fn a_refused_start_says_nothing_and_the_next_one_takes_an_identity() {
-    for refused in 0..6 {
-        let disk = PowerFileSystem::new(None);
-        let mut replica = Replica { disk: disk.clone(), spoke_as: None, durable: 0 };
-        disk.plan(Some((refused, Trouble::Refused)));
-        let first = replica.start(FIRST).unwrap();
-        disk.plan(None);
+fn open_succeeds_after_an_earlier_open_failed() {
+    for operation in 0..6 {
+        let disk = PowerLossFileSystem::new(None);
+        let mut replica = Replica { disk: disk.clone(), used_identity: None, durable: 0 };
+        disk.inject_fault(Some((operation, Fault::Error)));
+        let first = replica.start(FIRST_IDENTITY).unwrap();
+        disk.inject_fault(None);
         let second = replica.start(Identity { replica: 8, genesis: false }).unwrap();
-        let second = second.expect("the disk takes writes again");
+        let second = second.expect("the disk accepts writes again");
         let kept = first.map_or(Identity { replica: 8, genesis: false }, |stored| stored.identity);
-        expect_that!(second.identity, any![eq(kept), eq(FIRST)], "operation {refused}");
+        expect_that!(second.identity, any![eq(kept), eq(FIRST_IDENTITY)], "operation {operation}");
     }
 }
--- a/crates/replica_file/tests/interleavings.rs
+++ b/crates/replica_file/tests/interleavings.rs
@@ -1,7 +1,7 @@
-//! The writer's thread beside the thread that decides, through all their interleavings.
+//! Explores all interleavings of the writer's thread and the thread that makes its requests.
 //!
-//! The decider asks for records with rising numbers and for a rewrite. Whenever it hears that a record is durable, power
-//! is lost there and then: the newest record read back may not be older.
+//! The requester appends records with increasing numbers and requests a rewrite. Whenever a record is reported as
+//! durable, the test simulates a power loss at that moment: the newest record read back must not be older.
 
 #[path = "../../record_log/tests/power/mod.rs"]
 mod power;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use googletest::prelude::{expect_that, gt, gtest};
-use power::{Choices, Flaw, PowerFile, PowerFileSystem, Trouble};
+use power::{Choices, Fault, InjectedBug, PowerLossFile, PowerLossFileSystem};
 use shuttle::sync::mpsc::{channel, Receiver, Sender};
 use shuttle::thread;
 use switchhill_record_log::{FileSystem, LogFile, Options};
@@ -22,17 +22,17 @@
 
 const IDENTITY: Identity = Identity { replica: 7, genesis: true };
 
-/// The disk; the other thread may go on before each operation after which more is durable.
+/// A disk that yields to the other thread before each operation that makes data durable.
 #[derive(Clone)]
-struct Interleaved(PowerFileSystem);
+struct Interleaved(PowerLossFileSystem);
 
-struct InterleavedFile(PowerFile);
+struct InterleavedFile(PowerLossFile);
 
 impl FileSystem for Interleaved {
     type File = InterleavedFile;
 
-    fn create_directory(&self, folder: &Path) -> Result<()> {
-        self.0.create_directory(folder)
+    fn create_directory(&self, directory: &Path) -> Result<()> {
+        self.0.create_directory(directory)
     }
 
     fn open(&self, path: &Path) -> Result<InterleavedFile> {
@@ -52,9 +52,9 @@
         self.0.remove(path)
     }
 
-    fn sync_directory(&self, folder: &Path) -> Result<()> {
+    fn sync_directory(&self, directory: &Path) -> Result<()> {
         thread::yield_now();
-        self.0.sync_directory(folder)
+        self.0.sync_directory(directory)
     }
 }
 
@@ -78,51 +78,51 @@
 }
 
 struct Queue {
-    work: Receiver<WriteRequest>,
-    /// Planted fault: a rewrite that waits gives way to what was asked for after it.
-    rewrites_late: bool,
-    held_back: Vec<WriteRequest>,
+    requests: Receiver<WriteRequest>,
+    /// Injected bug: later requests overtake a queued rewrite.
+    delays_rewrites: bool,
+    delayed: Vec<WriteRequest>,
 }
 
 impl RequestQueue for Queue {
     fn recv(&mut self) -> Option<WriteRequest> {
-        self.held_back.pop().or_else(|| self.work.recv().ok())
+        self.delayed.pop().or_else(|| self.requests.recv().ok())
     }
 
     fn try_recv(&mut self) -> Option<WriteRequest> {
-        while let Ok(work) = self.work.try_recv() {
-            if !self.rewrites_late || !matches!(work, WriteRequest::Rewrite(_)) {
-                return Some(work);
+        while let Ok(request) = self.requests.try_recv() {
+            if !self.delays_rewrites || !matches!(request, WriteRequest::Rewrite(_)) {
+                return Some(request);
             }
-            self.held_back.push(work);
+            self.delayed.push(request);
         }
-        self.held_back.pop()
+        self.delayed.pop()
     }
 }
 
-/// The thread that decides.
-struct Decider {
-    disk: PowerFileSystem,
-    work: Sender<WriteRequest>,
-    reports: Receiver<WriterEvent>,
+/// The thread that makes requests.
+struct Requester {
+    disk: PowerLossFileSystem,
+    requests: Sender<WriteRequest>,
+    events: Receiver<WriterEvent>,
     next: u64,
 }
 
-impl Decider {
-    /// Asks for the newest record under a new token.
+impl Requester {
+    /// Requests the append of a new record under a new token.
     fn append(&mut self) {
         self.next += 1;
-        let _ = self.work.send(WriteRequest::Append(self.next, vec![self.next as u8]));
+        let _ = self.requests.send(WriteRequest::Append(self.next, vec![self.next as u8]));
     }
 
     fn rewrite(&self) {
-        let _ = self.work.send(WriteRequest::Rewrite(vec![vec![self.next as u8]]));
+        let _ = self.requests.send(WriteRequest::Rewrite(vec![vec![self.next as u8]]));
     }
 
-    /// Hears what has become of the work until the newest record is durable. A record that failed is asked for again.
-    fn hear_until_durable(&mut self) {
+    /// Receives events until the newest record is durable. A record that failed is appended again.
+    fn wait_until_durable(&mut self) {
         loop {
-            match self.reports.recv().expect("the writer is there") {
+            match self.events.recv().expect("the writer is running") {
                 WriterEvent::Persisted(token) => {
                     self.lose_power(token);
                     if token == self.next {
@@ -154,36 +154,36 @@
 
 #[derive(Clone, Copy, Default)]
 struct Plan {
-    trouble: Option<(usize, Trouble)>,
-    flaw: Option<Flaw>,
-    rewrites_late: bool,
-    /// Whether a second record is asked for after the rewrite.
+    fault: Option<(usize, Fault)>,
+    bug: Option<InjectedBug>,
+    delays_rewrites: bool,
+    /// Whether a second record is appended after the rewrite.
     two_records: bool,
 }
 
 fn run(plan: Plan) {
-    let disk = PowerFileSystem::new(plan.flaw);
+    let disk = PowerLossFileSystem::new(plan.bug);
     let stored =
         open(Interleaved(disk.clone()), Path::new("/data"), OPTIONS, || IDENTITY).expect("the file opens");
-    disk.plan(plan.trouble);
-    let (work, queue) = channel();
-    let (told, reports) = channel();
-    let mut queue = Queue { work: queue, rewrites_late: plan.rewrites_late, held_back: Vec::new() };
+    disk.inject_fault(plan.fault);
+    let (requests, queue) = channel();
+    let (event_sender, events) = channel();
+    let mut queue = Queue { requests: queue, delays_rewrites: plan.delays_rewrites, delayed: Vec::new() };
     let writer = thread::spawn(move || {
-        stored.writer.run(&mut queue, &mut |report| {
-            let _ = told.send(report);
+        stored.writer.run(&mut queue, &mut |event| {
+            let _ = event_sender.send(event);
         });
     });
-    let mut decider = Decider { disk, work, reports, next: 0 };
-    decider.append();
-    decider.rewrite();
+    let mut requester = Requester { disk, requests, events, next: 0 };
+    requester.append();
+    requester.rewrite();
     if plan.two_records {
-        decider.append();
+        requester.append();
     }
-    decider.hear_until_durable();
-    let Decider { work, .. } = decider;
-    drop(work);
-    writer.join().expect("the writer ends");
+    requester.wait_until_durable();
+    let Requester { requests, .. } = requester;
+    drop(requests);
+    writer.join().expect("the writer thread exits");
 }
 
 /// Runs all interleavings and returns their number.
@@ -201,17 +201,17 @@
 }
 
 #[gtest]
-fn what_is_told_to_be_durable_survives_a_loss_of_power_at_that_moment() {
+fn records_reported_durable_survive_an_immediate_power_loss() {
     let interleavings = run_all(Plan { two_records: true, ..Plan::default() });
     println!("{interleavings} interleavings");
     expect_that!(interleavings, gt(100));
 }
 
 #[gtest]
-fn a_refused_operation_is_asked_for_again_and_never_told_to_be_durable() {
+fn records_of_failed_operations_are_not_reported_durable() {
     let mut interleavings = 0;
     for operation in 0..9 {
-        let tried = run_all(Plan { trouble: Some((operation, Trouble::Refused)), ..Plan::default() });
+        let tried = run_all(Plan { fault: Some((operation, Fault::Error)), ..Plan::default() });
         println!("operation {operation}: {tried} interleavings");
         interleavings += tried;
     }
@@ -221,12 +221,12 @@
 
 #[test]
 #[should_panic(expected = "is durable")]
-fn records_told_before_their_sync_are_noticed() {
-    run_all(Plan { flaw: Some(Flaw::NoFileSync), ..Plan::default() });
+fn reporting_durable_before_the_sync_is_detected() {
+    run_all(Plan { bug: Some(InjectedBug::NoFileSync), ..Plan::default() });
 }
 
 #[test]
 #[should_panic(expected = "is durable")]
-fn a_rewrite_out_of_order_is_noticed() {
-    run_all(Plan { rewrites_late: true, two_records: true, ..Plan::default() });
+fn reordering_a_rewrite_is_detected() {
+    run_all(Plan { delays_rewrites: true, two_records: true, ..Plan::default() });
 }
--- a/crates/replica_file/tests/writer.rs
+++ b/crates/replica_file/tests/writer.rs
@@ -1,4 +1,4 @@
-//! What the writer tells, and in which order.
+//! Checks which events the writer reports, and in which order.
 
 #[path = "../../record_log/tests/power/mod.rs"]
 mod power;
@@ -6,72 +6,75 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use power::{PowerFileSystem, Trouble};
+use power::{Fault, PowerLossFileSystem};
 use switchhill_record_log::Options;
 use switchhill_replica_file::{open, Identity, WriteRequest, Writer, WriterEvent};
 
-/// Long enough for the identity and two records.
+/// The identity and two short records fit below this limit.
 const OPTIONS: Options = Options { rewrite_above_bytes: 60 };
 
-fn start(disk: &PowerFileSystem) -> Writer<PowerFileSystem> {
+fn start(disk: &PowerLossFileSystem) -> Writer<PowerLossFileSystem> {
     let identity = Identity { replica: 7, genesis: true };
     open(disk.clone(), Path::new("/data"), OPTIONS, || identity).expect("the file opens").writer
 }
 
-fn told(writer: &mut Writer<PowerFileSystem>, batch: Vec<WriteRequest>) -> Vec<String> {
-    let mut told = Vec::new();
-    writer.process_batch(batch, &mut |report| {
-        told.push(match report {
+fn events_of(writer: &mut Writer<PowerLossFileSystem>, batch: Vec<WriteRequest>) -> Vec<String> {
+    let mut events = Vec::new();
+    writer.process_batch(batch, &mut |event| {
+        events.push(match event {
             WriterEvent::Persisted(token) => format!("persisted {token}"),
             WriterEvent::AppendFailed(token, _) => format!("failed {token}"),
-            WriterEvent::RewriteNeeded => "long".to_owned(),
-            WriterEvent::RewriteFailed(_) => "not rewritten".to_owned(),
+            WriterEvent::RewriteNeeded => "rewrite needed".to_owned(),
+            WriterEvent::RewriteFailed(_) => "rewrite failed".to_owned(),
         })
     });
-    told
+    events
 }
 
 #[gtest]
-fn failures_are_told_before_the_success_that_would_cover_them() {
-    let disk = PowerFileSystem::new(None);
+fn failures_are_reported_before_the_success_that_includes_their_tokens() {
+    let disk = PowerLossFileSystem::new(None);
     let mut writer = start(&disk);
-    disk.plan(Some((0, Trouble::Refused)));
+    disk.inject_fault(Some((0, Fault::Error)));
     let batch = vec![WriteRequest::Append(1, vec![1]), WriteRequest::Append(2, vec![2])];
-    expect_that!(told(&mut writer, batch), eq(&vec!["failed 1".to_owned(), "persisted 2".to_owned()]));
+    expect_that!(events_of(&mut writer, batch), eq(&vec!["failed 1".to_owned(), "persisted 2".to_owned()]));
 }
 
 #[gtest]
-fn a_failed_sync_fails_all_that_it_was_to_cover() {
-    let disk = PowerFileSystem::new(None);
+fn a_failed_sync_fails_all_records_of_the_batch() {
+    let disk = PowerLossFileSystem::new(None);
     let mut writer = start(&disk);
-    disk.plan(Some((2, Trouble::Refused)));
+    disk.inject_fault(Some((2, Fault::Error)));
     let batch = vec![WriteRequest::Append(1, vec![1]), WriteRequest::Append(2, vec![2])];
-    expect_that!(told(&mut writer, batch), eq(&vec!["failed 1".to_owned(), "failed 2".to_owned()]));
+    expect_that!(events_of(&mut writer, batch), eq(&vec!["failed 1".to_owned(), "failed 2".to_owned()]));
 }
 
 #[gtest]
-fn a_long_file_is_told_of_once_until_it_is_rewritten_also_where_a_write_is_refused() {
-    let disk = PowerFileSystem::new(None);
+fn a_rewrite_is_requested_once_until_the_next_attempt_even_if_it_fails() {
+    let disk = PowerLossFileSystem::new(None);
     let mut writer = start(&disk);
     let long = vec![1; 40];
     expect_that!(
-        told(&mut writer, vec![WriteRequest::Append(1, long.clone())]),
-        eq(&vec!["persisted 1".to_owned(), "long".to_owned()])
+        events_of(&mut writer, vec![WriteRequest::Append(1, long.clone())]),
+        eq(&vec!["persisted 1".to_owned(), "rewrite needed".to_owned()])
     );
     expect_that!(
-        told(&mut writer, vec![WriteRequest::Append(2, vec![2])]),
+        events_of(&mut writer, vec![WriteRequest::Append(2, vec![2])]),
         eq(&vec!["persisted 2".to_owned()])
     );
-    disk.plan(Some((0, Trouble::Refused)));
+    disk.inject_fault(Some((0, Fault::Error)));
     expect_that!(
-        told(&mut writer, vec![WriteRequest::Rewrite(vec![vec![2]])]),
-        eq(&vec!["not rewritten".to_owned()])
+        events_of(&mut writer, vec![WriteRequest::Rewrite(vec![vec![2]])]),
+        eq(&vec!["rewrite failed".to_owned()])
     );
-    // Grown further, and the next write is refused.
-    expect_that!(told(&mut writer, vec![WriteRequest::Append(3, long.clone())]), contains(eq("persisted 3")));
-    disk.plan(None);
+    // The file grows further after the failed rewrite; the fault was injected into the first operation only.
     expect_that!(
-        told(&mut writer, vec![WriteRequest::Rewrite(vec![vec![3]]), WriteRequest::Append(4, vec![4])]),
+        events_of(&mut writer, vec![WriteRequest::Append(3, long.clone())]),
+        contains(eq("persisted 3"))
+    );
+    disk.inject_fault(None);
+    expect_that!(
+        events_of(&mut writer, vec![WriteRequest::Rewrite(vec![vec![3]]), WriteRequest::Append(4, vec![4])]),
         eq(&vec!["persisted 4".to_owned()])
     );
 }
