--- a/crates/record_log/src/file_system.rs
+++ b/crates/record_log/src/file_system.rs
@@ -1,32 +1,32 @@
-//! The few file operations a record log needs, behind a trait so that faults can be injected.
+//! The file operations that a record log needs, behind traits so that tests can inject faults.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// Folder operations of a record log.
+/// Directory operations of a record log.
 pub trait FileSystem {
     /// An open file of this file system.
     type File: LogFile;
 
-    /// Creates the folder, and makes its name durable, if it does not exist.
-    fn create_directory(&self, folder: &Path) -> io::Result<()>;
+    /// Creates the directory if it does not exist, and makes its entry in the parent durable.
+    fn create_directory(&self, directory: &Path) -> io::Result<()>;
 
-    /// Opens a file for reading and writing; an absent one is created empty.
+    /// Opens a file for reading and writing, and creates it if it does not exist.
     fn open(&self, path: &Path) -> io::Result<Self::File>;
 
-    /// Whether a file of this name exists.
+    /// Whether a file exists at this path.
     fn exists(&self, path: &Path) -> io::Result<bool>;
 
-    /// Gives the file `from` the name `to`, replacing what had that name.
+    /// Renames `from` to `to`, replacing an existing file.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
     /// Removes a file.
     fn remove(&self, path: &Path) -> io::Result<()>;
 
-    /// Makes the names in the folder durable.
-    fn sync_directory(&self, folder: &Path) -> io::Result<()>;
+    /// Makes the entries of the directory durable.
+    fn sync_directory(&self, directory: &Path) -> io::Result<()>;
 }
 
 /// Operations on an open file.
@@ -34,29 +34,29 @@
     /// Reads the whole file.
     fn read_all(&mut self) -> io::Result<Vec<u8>>;
 
-    /// Writes all of `bytes` at `offset`. On an error any part of them may have been written.
+    /// Writes all of `bytes` at `offset`. After an error, any part of them may have been written.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts the file to `length` bytes.
+    /// Truncates the file to `length` bytes.
     fn set_length(&mut self, length: u64) -> io::Result<()>;
 
-    /// Makes content and length durable.
+    /// Makes the content and the length of the file durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// The file system of the machine.
+/// The file system of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StandardFileSystem;
 
 impl FileSystem for StandardFileSystem {
     type File = File;
 
-    fn create_directory(&self, folder: &Path) -> io::Result<()> {
-        if folder.is_dir() {
+    fn create_directory(&self, directory: &Path) -> io::Result<()> {
+        if directory.is_dir() {
             return Ok(());
         }
-        fs::create_dir_all(folder)?;
-        match folder.parent() {
+        fs::create_dir_all(directory)?;
+        match directory.parent() {
             Some(parent) if !parent.as_os_str().is_empty() => self.sync_directory(parent),
             _ => Ok(()),
         }
@@ -78,8 +78,8 @@
         fs::remove_file(path)
     }
 
-    fn sync_directory(&self, folder: &Path) -> io::Result<()> {
-        File::open(folder)?.sync_all()
+    fn sync_directory(&self, directory: &Path) -> io::Result<()> {
+        File::open(directory)?.sync_all()
     }
 }
 
--- a/crates/record_log/src/frame.rs
+++ b/crates/record_log/src/frame.rs
@@ -1,14 +1,14 @@
-//! Layout of a record in the file.
+//! On-disk format of a record.
 //!
-//! A frame is the length of the record plus one (so that a hole of zeros is no record), a checksum, and the record; both
-//! numbers are 32 bits wide, little-endian. The checksum covers the length, the record and the checksum of the frame
-//! before.
+//! A frame consists of the length of the record plus one, a checksum and the record. Length and checksum are 32-bit
+//! little-endian integers. The length is stored plus one so that a run of zero bytes is not a valid frame. The checksum
+//! covers the length, the record and the checksum of the previous frame.
 
-/// Bytes before the record itself.
+/// Size of the length and the checksum that precede the record.
 const HEADER_BYTES: usize = 8;
 
-/// Checksum "before" the first frame of a file.
-pub(crate) const FIRST_CHECKSUM: u32 = 0x5348_524c;
+/// Value that the first frame of a file uses as the previous checksum.
+pub(crate) const INITIAL_CHECKSUM: u32 = 0x5348_524c;
 
 /// Appends the frame of `record` to `out` and returns its checksum.
 pub(crate) fn write_frame(out: &mut Vec<u8>, previous_checksum: u32, record: &[u8]) -> u32 {
@@ -20,27 +20,27 @@
     checksum
 }
 
-/// The valid frames at the start of a file.
+/// The longest valid prefix of a file.
 pub(crate) struct Scan {
     pub(crate) records: Vec<Vec<u8>>,
-    /// Length of the valid part in bytes.
+    /// Length of the valid prefix in bytes.
     pub(crate) length: u64,
     /// Checksum of the last valid frame.
     pub(crate) checksum: u32,
 }
 
-/// Reads frames up to the first one that is torn, garbled or missing.
+/// Reads frames up to the first one that is torn, corrupt or missing.
 pub(crate) fn scan(content: &[u8]) -> Scan {
-    let mut found = Scan { records: Vec::new(), length: 0, checksum: FIRST_CHECKSUM };
+    let mut valid = Scan { records: Vec::new(), length: 0, checksum: INITIAL_CHECKSUM };
     let mut rest = content;
-    while let Some((record, checksum)) = read_frame(rest, found.checksum) {
+    while let Some((record, checksum)) = read_frame(rest, valid.checksum) {
         let frame_bytes = HEADER_BYTES + record.len();
-        found.records.push(record.to_vec());
-        found.length += frame_bytes as u64;
-        found.checksum = checksum;
+        valid.records.push(record.to_vec());
+        valid.length += frame_bytes as u64;
+        valid.checksum = checksum;
         rest = &rest[frame_bytes..];
     }
-    found
+    valid
 }
 
 fn read_frame(content: &[u8], previous_checksum: u32) -> Option<(&[u8], u32)> {
@@ -49,8 +49,8 @@
     let record_length = u32::from_le_bytes(*length).checked_sub(1)? as usize;
     let record = after_header.get(..record_length)?;
     let checksum = u32::from_le_bytes(*checksum);
-    let valid = checksum == frame_checksum(previous_checksum, *length, record);
-    valid.then_some((record, checksum))
+    let matches = checksum == frame_checksum(previous_checksum, *length, record);
+    matches.then_some((record, checksum))
 }
 
 fn frame_checksum(previous_checksum: u32, length: [u8; 4], record: &[u8]) -> u32 {
--- a/crates/record_log/tests/crash_points.rs
+++ b/crates/record_log/tests/crash_points.rs
@@ -1,7 +1,7 @@
-//! The record log ended at each of its operations, with every outcome of a loss of power.
+//! Crashes the record log at each of its operations and tries every outcome of a power loss.
 //!
-//! The log is used as a replica uses it: a record that names it comes first, each further one is a state with a higher
-//! number, and a rewrite keeps the name and the newest state.
+//! The log is used as a replica uses it: the first record holds the identity, each further one is a state with a higher
+//! number, and a rewrite keeps the identity and the newest state.
 
 mod power;
 
@@ -13,11 +13,11 @@
 
 const OPTIONS: Options = Options { rewrite_above_bytes: 1_000 };
 
-/// The record that names the owner of the file.
-const NAME: &[u8] = b"N";
+/// The record that holds the identity of the owner.
+const IDENTITY: &[u8] = b"N";
 
-/// Operations of an open at most.
-const OPERATIONS_OF_OPEN: usize = 5;
+/// Maximum number of operations of an open.
+const MAX_OPEN_OPERATIONS: usize = 5;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
@@ -35,29 +35,29 @@
     &[Rewrite, Append, Sync, Append, Rewrite, Append, Sync, Append],
 ];
 
-/// A log beside what it must give back.
+/// The owner of a log, with a model of the records that the log must return.
 struct Owner {
     disk: PowerLossFileSystem,
     log: Option<RecordLog<PowerLossFileSystem>>,
-    /// Whether the name is durable.
-    named: bool,
+    /// Whether the identity is durable.
+    has_identity: bool,
     /// Number of the newest state that is durable.
     durable: u8,
-    /// Number of the newest state that the log has taken and not given up.
+    /// Number of the newest state that the log accepted and has not discarded.
     held: u8,
-    /// Number of the newest state handed to the log.
+    /// Number of the newest state passed to the log.
     newest: u8,
-    /// Whether no write has been refused, so that each state follows the one before.
+    /// Whether no operation has failed, so that the state numbers are consecutive.
     gapless: bool,
 }
 
 impl Owner {
     fn new(bug: Option<InjectedBug>) -> Owner {
         let disk = PowerLossFileSystem::new(bug);
-        Owner { disk, log: None, named: false, durable: 0, held: 0, newest: 0, gapless: true }
+        Owner { disk, log: None, has_identity: false, durable: 0, held: 0, newest: 0, gapless: true }
     }
 
-    /// Opens the log and checks what it gives back.
+    /// Opens the log and checks the records that it returns.
     fn start(&mut self) -> std::result::Result<(), String> {
         let opened = RecordLog::open_with(self.disk.clone(), Path::new("/data"), "replica", OPTIONS);
         let Ok((log, records)) = opened else {
@@ -67,25 +67,25 @@
         self.check(&records)?;
         self.log = Some(log);
         let states = records.get(1..).unwrap_or_default();
-        self.named = !records.is_empty();
+        self.has_identity = !records.is_empty();
         self.newest = states.last().map_or(0, |state| state[0]);
-        // The owner acts on what it has read.
+        // The owner acts on the records read, so they must not be lost later.
         self.held = self.newest;
         self.durable = self.newest;
         Ok(())
     }
 
     fn check(&self, records: &[Vec<u8>]) -> std::result::Result<(), String> {
-        let Some((name, states)) = records.split_first() else {
-            return if self.named { Err("the file is empty".into()) } else { Ok(()) };
+        let Some((identity, states)) = records.split_first() else {
+            return if self.has_identity { Err("the file is empty".into()) } else { Ok(()) };
         };
-        if name != NAME {
-            return Err(format!("the first record is {name:?}"));
+        if identity != IDENTITY {
+            return Err(format!("the first record is {identity:?}"));
         }
         let numbers: Vec<u8> = states.iter().map(|state| state[0]).collect();
-        let follow = |pair: &[u8]| pair[1] == pair[0] + 1 || (!self.gapless && pair[1] >= pair[0]);
-        if !numbers.windows(2).all(follow) {
-            return Err(format!("states {numbers:?} do not follow each other"));
+        let in_order = |pair: &[u8]| pair[1] == pair[0] + 1 || (!self.gapless && pair[1] >= pair[0]);
+        if !numbers.windows(2).all(in_order) {
+            return Err(format!("states {numbers:?} are out of order"));
         }
         let last = numbers.last().copied().unwrap_or(0);
         match last {
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Writes the name if there is none, as the owner does before anything else.
-    fn write_name(&mut self) {
-        let Some(log) = self.log.as_mut().filter(|_| !self.named) else { return };
-        self.named = log.append(NAME).and_then(|()| log.sync()).is_ok();
-        if !self.named {
-            // The owner ends and starts anew.
+    /// Writes the identity if there is none, as the owner does before any other operation.
+    fn write_identity(&mut self) {
+        let Some(log) = self.log.as_mut().filter(|_| !self.has_identity) else { return };
+        self.has_identity = log.append(IDENTITY).and_then(|()| log.sync()).is_ok();
+        if !self.has_identity {
+            // The owner exits and starts again.
             self.log = None;
         }
     }
@@ -113,7 +113,7 @@
                 log.append(&[self.newest]).map(|()| self.held = self.newest)
             }
             Sync => log.sync().map(|()| self.durable = self.held).inspect_err(|_| self.held = self.durable),
-            Rewrite => log.rewrite(&[NAME.to_vec(), vec![self.newest]]).map(|()| {
+            Rewrite => log.rewrite(&[IDENTITY.to_vec(), vec![self.newest]]).map(|()| {
                 self.held = self.newest;
                 self.durable = self.newest;
             }),
@@ -122,12 +122,12 @@
     }
 
     fn run(&mut self, script: &[Step]) {
-        self.write_name();
+        self.write_identity();
         script.iter().for_each(|step| self.step(*step));
     }
 
-    /// The process ends here: killed, or by a loss of power.
-    fn end(&mut self, choices: &mut Choices) {
+    /// Ends the process by a kill or a power loss.
+    fn crash(&mut self, choices: &mut Choices) {
         self.log = None;
         if choices.choose(2) == 0 {
             self.disk.lose_power(choices);
@@ -135,23 +135,23 @@
         self.disk.restart();
     }
 
-    /// Starts again, ended once more in the middle of it or not.
-    fn start_again(&mut self, choices: &mut Choices) -> std::result::Result<(), String> {
-        let crash_at = if choices.is_coarse() { 0 } else { choices.choose(OPERATIONS_OF_OPEN + 1) };
+    /// Restarts the owner, in some cases with another crash during the open.
+    fn restart_with_crash(&mut self, choices: &mut Choices) -> std::result::Result<(), String> {
+        let crash_at = if choices.is_coarse() { 0 } else { choices.choose(MAX_OPEN_OPERATIONS + 1) };
         self.disk.inject_fault((crash_at > 0).then(|| (crash_at - 1, Fault::Crash)));
         let started = self.start();
         if self.log.is_none() {
-            self.end(choices);
+            self.crash(choices);
             self.start()?;
         }
         started
     }
 
-    /// The log goes on after a start: what is appended now is what follows.
-    fn go_on(&mut self, choices: &mut Choices) -> std::result::Result<(), String> {
+    /// Checks that the log accepts records after a restart and returns them after another one.
+    fn check_append(&mut self, choices: &mut Choices) -> std::result::Result<(), String> {
         self.disk.inject_fault(None);
         if choices.choose(2) == 1 {
-            // What was read has been acted on.
+            // The records read count as durable, so a power loss now must not remove them.
             self.log = None;
             self.disk.lose_power(choices);
             self.start()?;
@@ -159,9 +159,9 @@
         let before = self.newest;
         self.run(&[Append, Sync]);
         if self.durable != before + 1 {
-            return Err("the log takes no further record".into());
+            return Err("the log accepts no further record".into());
         }
-        self.end(choices);
+        self.crash(choices);
         self.start()?;
         match self.newest == before + 1 {
             true => Ok(()),
@@ -170,8 +170,8 @@
     }
 }
 
-/// Runs a script with fault at one operation, ends the process at another, and tries every outcome. Returns the number
-/// of cases, or what is wrong with one of them; `None` if the script ends before.
+/// Runs a script with a fault at one operation, crashes the process at another, and tries every outcome. Returns the
+/// number of cases, or the error of the first failed one; `None` if the script is over before the crash.
 fn try_all(
     script: &[Step],
     bug: Option<InjectedBug>,
@@ -182,20 +182,20 @@
     let mut cases = 0;
     loop {
         let mut owner = Owner::new(bug);
-        let past_the_end = run_to(&mut owner, script, fault, crash_at)?;
-        let tried = end_and_check(&mut owner, &mut choices);
+        let script_completed = run_to(&mut owner, script, fault, crash_at)?;
+        let tried = crash_and_check(&mut owner, &mut choices);
         tried.map_err(|error| {
             let taken = choices.taken();
-            format!("{error}; {script:?}, {fault:?}, ended at {crash_at}, choices {taken:?}, {bug:?}")
+            format!("{error}; {script:?}, {fault:?}, crashed at {crash_at}, choices {taken:?}, {bug:?}")
         })?;
         cases += 1;
         if !choices.advance() {
-            return Ok((!past_the_end).then_some(cases));
+            return Ok((!script_completed).then_some(cases));
         }
     }
 }
 
-/// Whether the script was over before the process was to end.
+/// Runs the script up to the crash. Returns whether the script was over before it.
 fn run_to(
     owner: &mut Owner,
     script: &[Step],
@@ -210,7 +210,7 @@
             Ok(!owner.disk.crashed())
         }
         Some(fault) => {
-            // The process ends after a step here.
+            // With a fault, `crash_at` counts the steps of the script and not the operations.
             owner.disk.inject_fault(Some(fault));
             owner.start()?;
             owner.run(&script[..crash_at.min(script.len())]);
@@ -219,14 +219,14 @@
     }
 }
 
-fn end_and_check(owner: &mut Owner, choices: &mut Choices) -> std::result::Result<(), String> {
-    owner.end(choices);
-    owner.start_again(choices)?;
-    owner.go_on(choices)
+fn crash_and_check(owner: &mut Owner, choices: &mut Choices) -> std::result::Result<(), String> {
+    owner.crash(choices);
+    owner.restart_with_crash(choices)?;
+    owner.check_append(choices)
 }
 
-/// All scripts, ended at each operation. Returns the number of cases.
-fn try_every_end(bug: Option<InjectedBug>) -> std::result::Result<usize, String> {
+/// Runs all scripts with a crash at each operation. Returns the number of cases.
+fn try_every_crash(bug: Option<InjectedBug>) -> std::result::Result<usize, String> {
     let mut cases = 0;
     for script in SCRIPTS {
         for crash_at in 0.. {
@@ -239,20 +239,20 @@
     Ok(cases)
 }
 
-/// All scripts with one operation refused, ended after each step. Returns the number of cases.
-fn try_every_refusal(fault: Fault) -> std::result::Result<usize, String> {
+/// Runs all scripts with one failing operation and a crash after each step. Returns the number of cases.
+fn try_every_failed_operation(fault: Fault) -> std::result::Result<usize, String> {
     let mut cases = 0;
     for script in SCRIPTS {
-        let undisturbed = {
+        let operations = {
             let mut owner = Owner::new(None);
             owner.disk.inject_fault(None);
             owner.start()?;
             owner.run(script);
             owner.disk.operations()
         };
-        for refused in 0..undisturbed {
+        for operation in 0..operations {
             for crash_at in 0..=script.len() {
-                cases += try_all(script, None, Some((refused, fault)), crash_at)?.unwrap_or(0);
+                cases += try_all(script, None, Some((operation, fault)), crash_at)?.unwrap_or(0);
             }
         }
     }
@@ -260,28 +260,28 @@
 }
 
 #[gtest]
-fn every_end_and_loss_of_power_is_read_rightly() {
-    let cases = try_every_end(None);
+fn records_are_correct_after_a_crash_at_any_operation() {
+    let cases = try_every_crash(None);
     println!("{cases:?} cases");
     expect_that!(cases.unwrap_or_else(|failure| panic!("{failure}")), gt(10_000));
 }
 
 #[gtest]
-fn every_refusal_and_loss_of_power_after_it_is_read_rightly() {
-    let cases = try_every_refusal(Fault::Error);
+fn records_are_correct_after_any_failed_operation_and_a_crash() {
+    let cases = try_every_failed_operation(Fault::Error);
     println!("{cases:?} cases");
     expect_that!(cases.unwrap_or_else(|failure| panic!("{failure}")), gt(10_000));
 }
 
 #[gtest]
-fn an_operation_that_fails_after_it_was_carried_out_is_read_rightly() {
-    let cases = try_every_refusal(Fault::ErrorAfterCompletion);
+fn records_are_correct_after_a_completed_operation_reports_an_error() {
+    let cases = try_every_failed_operation(Fault::ErrorAfterCompletion);
     println!("{cases:?} cases");
     expect_that!(cases.unwrap_or_else(|failure| panic!("{failure}")), gt(10_000));
 }
 
 #[gtest]
-fn a_step_left_out_is_noticed() {
+fn injected_bugs_are_detected() {
     let bugs = [
         InjectedBug::NoDirectorySync,
         InjectedBug::RenameBeforeSync,
@@ -290,8 +290,8 @@
         InjectedBug::TailNotTruncated,
     ];
     for bug in bugs {
-        let noticed = try_every_end(Some(bug));
-        println!("{bug:?}: {noticed:?}");
-        expect_that!(noticed, err(anything()), "{bug:?}");
+        let detected = try_every_crash(Some(bug));
+        println!("{bug:?}: {detected:?}");
+        expect_that!(detected, err(anything()), "{bug:?}");
     }
 }
--- a/crates/record_log/tests/fault/mod.rs
+++ b/crates/record_log/tests/fault/mod.rs
@@ -1,7 +1,8 @@
-//! An in-memory file system that fails on request and loses power.
+//! An in-memory file system with injected faults and simulated power loss.
 //!
-//! It keeps what a real one keeps: after a loss of power a file holds what its last sync covered, each later write is
-//! there, missing or torn, and each name changed since the folder's last sync is changed or not, by itself.
+//! It gives the guarantees of a real one: after a power loss a file holds the content of its last sync, each later
+//! write is kept, lost or torn, and each directory entry changed since the last directory sync is independently old or
+//! new.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,14 +14,14 @@
 
 type FileId = usize;
 
-/// Which operations fail, each with the given chance out of 100.
+/// Operations that fail, each with the given probability in percent.
 #[derive(Clone, Copy, Default)]
 pub struct Faults {
     pub write: u32,
     pub sync: u32,
     pub rename: u32,
     pub sync_directory: u32,
-    /// Bytes all files may hold together; `None` is unlimited.
+    /// Total bytes that all files may hold; `None` is unlimited.
     pub capacity: Option<usize>,
 }
 
@@ -32,7 +33,7 @@
 #[derive(Default)]
 struct Content {
     durable: Vec<u8>,
-    /// What a reader sees while the power is on.
+    /// Content seen by readers before a power loss.
     current: Vec<u8>,
     /// Changes since the last sync.
     unsynced: Vec<Change>,
@@ -71,7 +72,7 @@
         self.0.borrow_mut().faults = faults;
     }
 
-    /// Keeps or loses each unsynced change by itself; `all` loses every one.
+    /// Keeps or loses each unsynced change independently; with `all`, every unsynced change is lost.
     pub fn lose_power(&self, all: bool) {
         let mut state = self.0.borrow_mut();
         let state = &mut *state;
@@ -92,7 +93,7 @@
         state.names = state.durable_names.clone();
     }
 
-    /// Adds bytes to a file behind the log's back.
+    /// Overwrites bytes of a file, both current and durable, without going through the log.
     pub fn corrupt(&self, path: &Path, offset: usize, bytes: &[u8]) {
         let mut state = self.0.borrow_mut();
         let id = state.names[path];
@@ -125,8 +126,8 @@
 }
 
 impl State {
-    fn fails(&mut self, chance: u32) -> bool {
-        self.random.u32(0..100) < chance
+    fn fails(&mut self, percent: u32) -> bool {
+        self.random.u32(0..100) < percent
     }
 
     fn used(&self) -> usize {
@@ -142,14 +143,14 @@
     content[offset..end].copy_from_slice(bytes);
 }
 
-fn refused(what: &str) -> Error {
-    Error::other(format!("{what} refused"))
+fn injected_error(operation: &str) -> Error {
+    Error::other(format!("injected failure of {operation}"))
 }
 
 impl FileSystem for FaultyFileSystem {
     type File = FaultyFile;
 
-    fn create_directory(&self, _folder: &Path) -> Result<()> {
+    fn create_directory(&self, _directory: &Path) -> Result<()> {
         Ok(())
     }
 
@@ -169,9 +170,9 @@
 
     fn rename(&self, from: &Path, to: &Path) -> Result<()> {
         let mut state = self.0.borrow_mut();
-        let chance = state.faults.rename;
-        if state.fails(chance) {
-            return Err(refused("rename"));
+        let percent = state.faults.rename;
+        if state.fails(percent) {
+            return Err(injected_error("rename"));
         }
         let id = state.names.remove(from).ok_or(ErrorKind::NotFound)?;
         state.names.insert(to.to_path_buf(), id);
@@ -183,11 +184,11 @@
         Ok(())
     }
 
-    fn sync_directory(&self, _folder: &Path) -> Result<()> {
+    fn sync_directory(&self, _directory: &Path) -> Result<()> {
         let mut state = self.0.borrow_mut();
-        let chance = state.faults.sync_directory;
-        if state.fails(chance) {
-            return Err(refused("sync of the folder"));
+        let percent = state.faults.sync_directory;
+        if state.fails(percent) {
+            return Err(injected_error("directory sync"));
         }
         state.durable_names = state.names.clone();
         Ok(())
@@ -201,10 +202,10 @@
 
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> Result<()> {
         let mut state = self.state.borrow_mut();
-        let chance = state.faults.write;
+        let percent = state.faults.write;
         let room = state.faults.capacity.map(|capacity| capacity.saturating_sub(state.used()));
         let fits = room.is_none_or(|room| bytes.len() <= room);
-        let fails = !fits || state.fails(chance);
+        let fails = !fits || state.fails(percent);
         let written = if fails { state.random.usize(0..=bytes.len()) } else { bytes.len() };
         let written = written.min(room.unwrap_or(written));
         let file = &mut state.files[self.id];
@@ -227,9 +228,9 @@
 
     fn sync(&mut self) -> Result<()> {
         let mut state = self.state.borrow_mut();
-        let chance = state.faults.sync;
-        if state.fails(chance) {
-            return Err(refused("sync"));
+        let percent = state.faults.sync;
+        if state.fails(percent) {
+            return Err(injected_error("sync"));
         }
         let id = self.id;
         let file = &mut state.files[id];
--- a/crates/record_log/tests/record_log.rs
+++ b/crates/record_log/tests/record_log.rs
@@ -1,4 +1,4 @@
-//! The record log on disks that fail and machines that lose power.
+//! Tests the record log with failing disk operations and power loss.
 
 mod fault;
 
@@ -8,24 +8,24 @@
 use googletest::prelude::*;
 use switchhill_record_log::{LogError, Options, RecordLog};
 
-const FOLDER: &str = "/data";
+const DIRECTORY: &str = "/data";
 const OPTIONS: Options = Options { rewrite_above_bytes: 200 };
 
 type FaultyLog = RecordLog<FaultyFileSystem>;
 
 fn open(disk: &FaultyFileSystem) -> (FaultyLog, Vec<Vec<u8>>) {
-    RecordLog::open_with(disk.clone(), Path::new(FOLDER), "register", OPTIONS).expect("log opens")
+    RecordLog::open_with(disk.clone(), Path::new(DIRECTORY), "register", OPTIONS).expect("log opens")
 }
 
 fn path() -> PathBuf {
-    Path::new(FOLDER).join("register.log")
+    Path::new(DIRECTORY).join("register.log")
 }
 
 #[gtest]
-fn records_come_back_in_order_from_a_real_folder() -> Result<()> {
-    let folder = tempfile::tempdir()?;
-    let folder = folder.path().join("deep").join("data");
-    let (mut log, records) = RecordLog::open(&folder, "register", OPTIONS)?;
+fn records_are_read_back_in_order_from_a_real_directory() -> Result<()> {
+    let directory = tempfile::tempdir()?;
+    let directory = directory.path().join("deep").join("data");
+    let (mut log, records) = RecordLog::open(&directory, "register", OPTIONS)?;
     verify_that!(records, is_empty())?;
     log.append(b"one")?;
     log.append(b"")?;
@@ -33,23 +33,23 @@
     log.sync()?;
     drop(log);
 
-    let (mut log, records) = RecordLog::open(&folder, "register", OPTIONS)?;
+    let (mut log, records) = RecordLog::open(&directory, "register", OPTIONS)?;
     verify_that!(records, eq(&vec![b"one".to_vec(), b"".to_vec(), b"three".to_vec()]))?;
     log.rewrite(&[b"compact".to_vec()])?;
     log.append(b"later")?;
     log.sync()?;
     drop(log);
 
-    let (_, records) = RecordLog::open(&folder, "register", OPTIONS)?;
+    let (_, records) = RecordLog::open(&directory, "register", OPTIONS)?;
     verify_that!(records, eq(&vec![b"compact".to_vec(), b"later".to_vec()]))
 }
 
 #[gtest]
-fn a_garbled_tail_is_cut_and_the_log_goes_on_behind_it() {
+fn a_corrupt_tail_is_truncated_and_appends_continue_after_it() {
     let disk = FaultyFileSystem::new(1);
     let (mut log, _) = open(&disk);
     log.append(b"good").unwrap();
-    log.append(b"garbled").unwrap();
+    log.append(b"corrupt").unwrap();
     log.sync().unwrap();
     let end = log.length() as usize;
     disk.corrupt(&path(), end - 1, b"X");
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn a_tail_of_zeros_is_no_record() {
+fn a_tail_of_zeros_is_not_read_as_a_record() {
     let disk = FaultyFileSystem::new(1);
     let (mut log, _) = open(&disk);
     log.append(b"good").unwrap();
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn a_record_behind_a_gap_is_not_taken() {
+fn a_record_after_a_foreign_frame_is_rejected() {
     let disk = FaultyFileSystem::new(1);
     let (mut log, _) = open(&disk);
     log.append(b"one").unwrap();
@@ -81,14 +81,14 @@
     let third = log.length() as usize;
     log.append(b"thr").unwrap();
     log.sync().unwrap();
-    let (mut other, _) = RecordLog::open_with(disk.clone(), Path::new(FOLDER), "other", OPTIONS).unwrap();
+    let (mut other, _) = RecordLog::open_with(disk.clone(), Path::new(DIRECTORY), "other", OPTIONS).unwrap();
     other.append(b"one").unwrap();
     other.append(b"TWO").unwrap();
     other.sync().unwrap();
-    // A valid frame of another history in the gap: what follows continues a checksum that is not there.
+    // Replaces the second frame by a valid one of another log: the third frame continues a checksum that is missing.
     let frame: Vec<u8> = {
         use switchhill_record_log::{FileSystem, LogFile};
-        let mut file = disk.open(&Path::new(FOLDER).join("other.log")).unwrap();
+        let mut file = disk.open(&Path::new(DIRECTORY).join("other.log")).unwrap();
         file.read_all().unwrap()[second..third].to_vec()
     };
     disk.corrupt(&path(), second, &frame);
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn a_full_disk_refuses_and_the_log_stays_usable() {
+fn appends_fail_on_a_full_disk_and_the_log_stays_usable() {
     let disk = FaultyFileSystem::new(7);
     let (mut log, _) = open(&disk);
     log.append(b"first").unwrap();
@@ -113,12 +113,12 @@
 }
 
 #[gtest]
-fn a_failed_sync_gives_up_what_it_did_not_cover() {
+fn a_failed_sync_discards_the_unsynced_records() {
     let disk = FaultyFileSystem::new(7);
     let (mut log, _) = open(&disk);
     log.append(b"durable").unwrap();
     log.sync().unwrap();
-    log.append(b"given up").unwrap();
+    log.append(b"discarded").unwrap();
     disk.set_faults(Faults { sync: 100, ..Faults::default() });
     expect_that!(log.sync(), err(pat!(LogError::Sync(_))));
     disk.set_faults(Faults::default());
@@ -128,14 +128,14 @@
 }
 
 #[gtest]
-fn what_an_interrupted_rewrite_left_is_removed() {
+fn the_file_of_an_interrupted_rewrite_is_removed() {
     use switchhill_record_log::{FileSystem, LogFile};
     let disk = FaultyFileSystem::new(7);
     let (mut log, _) = open(&disk);
     log.append(b"kept").unwrap();
     log.sync().unwrap();
-    let mut left = disk.open(&Path::new(FOLDER).join("register.log.new")).unwrap();
-    left.write_at(0, b"half a rewrite").unwrap();
+    let mut replacement = disk.open(&Path::new(DIRECTORY).join("register.log.new")).unwrap();
+    replacement.write_at(0, b"half a rewrite").unwrap();
     expect_that!(open(&disk).1, eq(&vec![b"kept".to_vec()]));
     expect_that!(disk.names(), eq(&vec![path()]));
 }
@@ -155,7 +155,7 @@
 }
 
 #[gtest]
-fn a_rewrite_whose_name_is_not_durable_holds_up_later_syncs() {
+fn syncs_fail_until_the_rename_of_a_rewrite_is_durable() {
     let disk = FaultyFileSystem::new(7);
     let (mut log, _) = open(&disk);
     disk.set_faults(Faults { sync_directory: 100, ..Faults::default() });
@@ -170,7 +170,7 @@
 }
 
 #[gtest]
-fn a_rewrite_is_wanted_above_the_bound_and_not_again_at_once() {
+fn a_rewrite_is_needed_above_the_limit_and_not_immediately_again() {
     let disk = FaultyFileSystem::new(7);
     let (mut log, _) = open(&disk);
     log.append(&[1; 150]).unwrap();
@@ -184,24 +184,24 @@
 }
 
 #[gtest]
-fn a_record_beyond_the_longest_is_refused() {
+fn a_record_above_the_maximum_length_is_rejected() {
     let disk = FaultyFileSystem::new(7);
     let (mut log, _) = open(&disk);
     let long = vec![0; switchhill_record_log::MAX_RECORD_BYTES + 1];
     expect_that!(log.append(&long), err(pat!(LogError::RecordTooLong { .. })));
 }
 
-/// A log under random faults beside what it must give back.
+/// A log under random faults, with a model of the records that it must return.
 struct Trial {
     seed: u64,
     random: fastrand::Rng,
     disk: FaultyFileSystem,
     log: FaultyLog,
-    /// Records the log holds, oldest first; the first `durable` are covered by a sync.
+    /// Records in the log, oldest first; the first `durable` are covered by a sync.
     held: Vec<Vec<u8>>,
     durable: usize,
-    /// Records refused, or given up by a failed sync. They may have reached the disk all the same.
-    given_up: Vec<Vec<u8>>,
+    /// Records whose append failed or that a failed sync discarded. They may still have reached the disk.
+    discarded: Vec<Vec<u8>>,
     next: u32,
 }
 
@@ -210,11 +210,11 @@
         let disk = FaultyFileSystem::new(seed);
         let (log, _) = open(&disk);
         let random = fastrand::Rng::with_seed(!seed);
-        Trial { seed, random, disk, log, held: Vec::new(), durable: 0, given_up: Vec::new(), next: 0 }
+        Trial { seed, random, disk, log, held: Vec::new(), durable: 0, discarded: Vec::new(), next: 0 }
     }
 
     fn step(&mut self) {
-        self.draw_faults();
+        self.set_random_faults();
         match self.random.u32(0..20) {
             0..=9 => self.append(),
             10..=14 => self.sync(),
@@ -224,14 +224,14 @@
         }
     }
 
-    fn draw_faults(&mut self) {
-        let chance = if self.random.u32(0..4) == 0 { 50 } else { 0 };
+    fn set_random_faults(&mut self) {
+        let percent = if self.random.u32(0..4) == 0 { 50 } else { 0 };
         let capacity = (self.random.u32(0..8) == 0).then(|| self.random.usize(0..1000));
         self.disk.set_faults(Faults {
-            write: chance,
-            sync: chance,
-            rename: chance,
-            sync_directory: chance,
+            write: percent,
+            sync: percent,
+            rename: percent,
+            sync_directory: percent,
             capacity,
         });
     }
@@ -242,19 +242,19 @@
         record.resize(4 + self.random.usize(0..60), self.next as u8);
         match self.log.append(&record) {
             Ok(()) => self.held.push(record),
-            Err(_) => self.given_up.push(record),
+            Err(_) => self.discarded.push(record),
         }
     }
 
     fn sync(&mut self) {
         match self.log.sync() {
             Ok(()) => self.durable = self.held.len(),
-            Err(_) => self.given_up.extend(self.held.drain(self.durable..)),
+            Err(_) => self.discarded.extend(self.held.drain(self.durable..)),
         }
     }
 
     fn rewrite(&mut self) {
-        // The compact state stands for all records: here they are all kept.
+        // The compacted state must represent all records; this test keeps them all.
         if self.log.rewrite(&self.held.clone()).is_ok() {
             self.durable = self.held.len();
         }
@@ -275,13 +275,13 @@
     fn reopen(&mut self) {
         let (log, records) = open(&self.disk);
         let seed = self.seed;
-        let kept: Vec<&Vec<u8>> = records.iter().filter(|record| !self.given_up.contains(record)).collect();
+        let kept: Vec<&Vec<u8>> = records.iter().filter(|record| !self.discarded.contains(record)).collect();
         let expected: Vec<&Vec<u8>> = self.held.iter().take(kept.len()).collect();
         assert_eq!(kept, expected, "seed {seed}: not a prefix of what was appended");
         assert!(kept.len() >= self.durable, "seed {seed}: a synced record is lost");
         assert!(records.is_sorted_by_key(|record| number(record)), "seed {seed}: records out of order");
-        // What has reached the disk is held again, also where a sync had given it up.
-        self.given_up.retain(|record| !records.contains(record));
+        // Records that reached the disk are part of the log again, even if a failed sync had discarded them.
+        self.discarded.retain(|record| !records.contains(record));
         self.log = log;
         self.held = records;
         self.durable = self.held.len();
@@ -289,11 +289,11 @@
 }
 
 fn number(record: &[u8]) -> u32 {
-    u32::from_le_bytes(record[..4].try_into().expect("records of the trial start with their number"))
+    u32::from_le_bytes(record[..4].try_into().expect("each record starts with its number"))
 }
 
 #[gtest]
-fn what_was_synced_survives_any_fault() {
+fn synced_records_survive_random_faults() {
     for seed in 0..3000 {
         let mut trial = Trial::new(seed);
         for _ in 0..60 {
--- a/crates/replica_file/src/writer.rs
+++ b/crates/replica_file/src/writer.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Processes one batch. Failures are reported before the [`WriterEvent::Persisted`] whose range includes their tokens.
+    /// Processes one batch. Failures are reported before the [`WriterEvent::Persisted`] that includes their tokens.
     pub fn process_batch(&mut self, batch: Vec<WriteRequest>, report: &mut impl FnMut(WriterEvent)) {
         let mut appended = Vec::new();
         for request in batch {
