--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -15,7 +15,7 @@
 use switchhill_distribution::MergedState;
 use switchhill_membership::{ContactSettings, Contacts};
 use switchhill_register::{Member, Output as RegisterOutput, Record, Replica, ReplicaId};
-use switchhill_registration::SuspectAfter;
+use switchhill_registration::SuspicionTimeout;
 
 /// Worker heartbeats without which a worker is suspected, in tenths.
 const SUSPECT_AFTER_TENTHS: u64 = 26;
@@ -70,7 +70,7 @@
             contacts: Contacts::new(settings.replica, settings.life, ContactSettings::default()),
             replica,
             control: ControlState::default(),
-            state: MergedState::new(SuspectAfter(suspect_after)),
+            state: MergedState::new(SuspicionTimeout(suspect_after)),
             jobs: Jobs::default(),
             subscribers: Subscribers::default(),
             announcements: Announcements::default(),
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -7,7 +7,7 @@
 use switchhill_distribution::Change;
 use switchhill_protocol::{HeardWorker, PeerBody, WorkerUpdate, WorkerUpdateAck, WorkersHeard};
 use switchhill_register::ReplicaId;
-use switchhill_registration::{HeardBeat, HeardOutcome, Heartbeat, Merge, Worker, WorkerState};
+use switchhill_registration::{DigestOutcome, Heartbeat, HeartbeatDigest, MergeOutcome, Worker, WorkerState};
 
 /// Time in milliseconds in which a majority must have a worker's end before it is acknowledged.
 const ACKNOWLEDGE_WITHIN: u64 = 700;
@@ -97,7 +97,7 @@
 
     /// A worker has ended.
     pub(crate) fn worker_gone(&mut self, now: u64, call: CallId, id: &str) {
-        let gone = self.state.workers_mut().end(now, id);
+        let gone = self.state.workers_mut().mark_gone(now, id);
         self.tell_of_workers(now, vec![gone.clone()]);
         self.settle(now, call, gone);
     }
@@ -159,9 +159,9 @@
     fn take_beat(&mut self, now: u64, worker: Worker) {
         let id = worker.id.clone();
         let before = self.state.workers().get(&id).cloned();
-        let outcome = self.state.workers_mut().beat(now, worker);
+        let outcome = self.state.workers_mut().record_heartbeat(now, worker);
         let mut changed = outcome.displaced;
-        if outcome.merge == Merge::Changed {
+        if outcome.merge == MergeOutcome::Changed {
             let present = self.state.workers().get(&id).cloned();
             match present {
                 Some(present) if differs_in_models_alone(before.as_ref(), &present) => {
@@ -220,10 +220,15 @@
     /// Another core node heard workers.
     pub(crate) fn workers_heard(&mut self, now: u64, heard: &WorkersHeard) {
         for worker in &heard.workers {
-            let beat =
-                HeardBeat { id: worker.id.clone(), sequence: worker.sequence, material: worker.material };
+            let heartbeat = HeartbeatDigest {
+                id: worker.id.clone(),
+                sequence: worker.sequence,
+                material_digest: worker.material,
+            };
             // An entry that is missing here comes with the comparison of tables.
-            if let HeardOutcome::Cleared(cleared) = self.state.workers_mut().heard(now, &beat) {
+            if let DigestOutcome::SuspicionCleared(cleared) =
+                self.state.workers_mut().apply_digest(now, &heartbeat)
+            {
                 self.workers_changed(now, &Change::Workers(vec![*cleared]));
             }
         }
@@ -273,14 +278,17 @@
             return;
         }
         self.updates.next_heard = now + HEARD_EVERY;
-        let heard = self.state.workers().heard_since(self.updates.heard_marker);
-        self.updates.heard_marker = heard.marker;
-        if heard.beats.is_empty() {
+        let heard = self.state.workers().heartbeats_since(self.updates.heard_marker);
+        self.updates.heard_marker = heard.cursor;
+        if heard.heartbeats.is_empty() {
             return;
         }
-        let told =
-            |beat: HeardBeat| HeardWorker { id: beat.id, sequence: beat.sequence, material: beat.material };
-        let workers = heard.beats.into_iter().map(told).collect();
+        let told = |heartbeat: HeartbeatDigest| HeardWorker {
+            id: heartbeat.id,
+            sequence: heartbeat.sequence,
+            material: heartbeat.material_digest,
+        };
+        let workers = heard.heartbeats.into_iter().map(told).collect();
         self.send_all_peers(now, PeerBody::WorkersHeard(WorkersHeard { workers }));
     }
 
--- a/crates/distribution/src/feed.rs
+++ b/crates/distribution/src/feed.rs
@@ -6,10 +6,10 @@
 use switchhill_protocol::{
     Downstream, DownstreamBody, Expectation, Fetch, Hello, Status, Upstream, UpstreamBody,
 };
-use switchhill_registration::{SuspectAfter, Worker};
+use switchhill_registration::{SuspicionTimeout, Worker};
 
 /// Suspicion of workers is told by the core.
-const NEVER_SUSPECT: SuspectAfter = SuspectAfter(u64::MAX / 4);
+const NEVER_SUSPECT: SuspicionTimeout = SuspicionTimeout(u64::MAX / 4);
 
 /// How long worker tables may differ, in milliseconds, before the whole one is asked for.
 const WORKERS_DIFFER_FOR: u64 = 700;
--- a/crates/distribution/src/merged.rs
+++ b/crates/distribution/src/merged.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use switchhill_configuration::{Delta, Document};
 use switchhill_protocol::{Configuration, Residency, Workers};
-use switchhill_registration::{Merge, SuspectAfter, Worker, WorkerTable};
+use switchhill_registration::{MergeOutcome, SuspicionTimeout, Worker, WorkerTable};
 
 /// What a message changed.
 #[derive(Debug, Clone, PartialEq)]
@@ -38,7 +38,7 @@
 
 impl MergedState {
     /// An empty state.
-    pub fn new(suspect_after: SuspectAfter) -> MergedState {
+    pub fn new(suspect_after: SuspicionTimeout) -> MergedState {
         MergedState {
             document: None,
             encoded: Bytes::new(),
@@ -136,7 +136,7 @@
         let mut changed = Vec::new();
         for worker in entries {
             let id = worker.id.clone();
-            if self.workers.merge(now, worker) == Merge::Changed {
+            if self.workers.merge(now, worker) == MergeOutcome::Changed {
                 changed.extend(self.workers.get(&id).cloned());
             }
         }
@@ -169,7 +169,7 @@
     pub fn tick(&mut self, now: u64) {
         self.workers.tick(now, false);
         let workers = &self.workers;
-        let forgotten = workers.forgotten_entries();
+        let forgotten = workers.evicted_entries();
         if forgotten != self.forgotten_entries || self.residency_without_worker {
             self.forgotten_entries = forgotten;
             self.residency_without_worker = false;
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -8,7 +8,7 @@
 use switchhill_protocol::{
     Configuration, Downstream, DownstreamBody, Fetch, Hello, Loads, Status, Summary, Upstream, UpstreamBody,
 };
-use switchhill_registration::SuspectAfter;
+use switchhill_registration::SuspicionTimeout;
 
 /// Time in milliseconds between two statuses to a data plane.
 const STATUS_EVERY: u64 = 500;
@@ -18,7 +18,7 @@
 const STOOD_STILL_AFTER: u64 = 900;
 
 /// Suspicion of workers is told by the core; the agent has none of its own.
-const NEVER_SUSPECT: SuspectAfter = SuspectAfter(u64::MAX / 4);
+const NEVER_SUSPECT: SuspicionTimeout = SuspicionTimeout(u64::MAX / 4);
 
 /// A connection of a data plane.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/registration/src/lib.rs
+++ b/crates/registration/src/lib.rs
@@ -12,6 +12,7 @@
 pub use heartbeat::{Heartbeat, HeartbeatError};
 pub use record::RecordError;
 pub use table::{
-    BeatOutcome, HeardBeat, HeardOutcome, HeardSummary, Merge, SuspectAfter, WorkerTable, FORGET_AFTER_MS,
+    DigestOutcome, HeartbeatDigest, HeartbeatOutcome, HeartbeatSummary, MergeOutcome, SuspicionTimeout,
+    WorkerTable, EVICT_AFTER_MS,
 };
 pub use worker::{ResidentModel, Worker, WorkerState};
--- a/crates/registration/src/table.rs
+++ b/crates/registration/src/table.rs
@@ -6,22 +6,22 @@
 
 /// Milliseconds for which an entry that is gone or suspected is kept and told to others. Long enough that a
 /// node cut off for a while still learns that the instance has ended.
-pub const FORGET_AFTER_MS: u64 = 60_000;
+pub const EVICT_AFTER_MS: u64 = 60_000;
 /// Milliseconds for which a forgotten instance is still known by id and sequence. Far above
-/// [`FORGET_AFTER_MS`], so that nodes that forget at different times do not bring it back to each other.
-const REMEMBER_FORGOTTEN_MS: u64 = 10 * FORGET_AFTER_MS;
+/// [`EVICT_AFTER_MS`], so that nodes that forget at different times do not bring it back to each other.
+const REMEMBER_FORGOTTEN_MS: u64 = 10 * EVICT_AFTER_MS;
 
 /// Milliseconds without a heartbeat after which a worker is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SuspectAfter(pub u64);
+pub struct SuspicionTimeout(pub u64);
 
 /// What merging an entry did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merge {
+pub enum MergeOutcome {
     /// Nothing: the table holds the same or a newer entry that says the same.
     Unchanged,
     /// Only the sequence moved, and what counts down by itself.
-    Heard,
+    Refreshed,
     /// The entry is new or says something else: it is to be published.
     Changed,
     /// The table holds a newer entry that says something else. Who sent this one, or heard of it, may
@@ -31,55 +31,55 @@
 
 /// What a heartbeat that came directly from a worker did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BeatOutcome {
+pub struct HeartbeatOutcome {
     /// What merging it did.
-    pub merge: Merge,
+    pub merge: MergeOutcome,
     /// Other instances at the same address, now suspected: entries to publish.
     pub displaced: Vec<Worker>,
 }
 
 /// A heartbeat that some node heard directly, in short.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeardBeat {
+pub struct HeartbeatDigest {
     /// The instance.
     pub id: String,
     /// The heartbeat's number.
     pub sequence: u64,
     /// [`Worker::material_digest`] of what it said.
-    pub material: u64,
+    pub material_digest: u64,
 }
 
 /// The heartbeats heard directly since a marker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeardSummary {
+pub struct HeartbeatSummary {
     /// The marker for the next call.
-    pub marker: u64,
+    pub cursor: u64,
     /// The newest heartbeat of each instance that was heard.
-    pub beats: Vec<HeardBeat>,
+    pub heartbeats: Vec<HeartbeatDigest>,
 }
 
 /// What a heartbeat that another node heard did here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HeardOutcome {
+pub enum DigestOutcome {
     /// The table has what it said.
-    Known,
+    UpToDate,
     /// The table has what it said, and it cleared a suspicion: the entry is to be published.
-    Cleared(Box<Worker>),
+    SuspicionCleared(Box<Worker>),
     /// The table lacks what it said: the sender is to be asked for its entry.
-    Missing,
+    EntryMissing,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     worker: Worker,
     /// [`Worker::material_digest`] of the worker.
-    material: u64,
+    material_digest: u64,
     /// When the newest sequence was heard of.
     last_heard: u64,
     /// When the heartbeat in `worker` was received; what counts down does so from here.
     received_at: u64,
     /// The marker of the newest heartbeat that came directly.
-    heard_mark: Option<u64>,
+    heartbeat_cursor: Option<u64>,
     /// When the entry is forgotten, for one that is gone or suspected.
     forget_at: Option<u64>,
 }
@@ -87,11 +87,11 @@
 impl Entry {
     fn new(now: u64, worker: Worker) -> Entry {
         let mut entry = Entry {
-            material: worker.material_digest(),
+            material_digest: worker.material_digest(),
             worker,
             last_heard: now,
             received_at: now,
-            heard_mark: None,
+            heartbeat_cursor: None,
             forget_at: None,
         };
         entry.arm_forgetting(now);
@@ -107,7 +107,7 @@
         if worker.sequence != self.worker.sequence {
             self.received_at = now;
         }
-        self.material = worker.material_digest();
+        self.material_digest = worker.material_digest();
         self.worker = worker;
         if rearm {
             self.arm_forgetting(now);
@@ -116,7 +116,7 @@
 
     fn arm_forgetting(&mut self, now: u64) {
         let ends = self.worker.is_gone() || self.worker.suspected;
-        self.forget_at = ends.then(|| now.saturating_add(FORGET_AFTER_MS));
+        self.forget_at = ends.then(|| now.saturating_add(EVICT_AFTER_MS));
     }
 
     fn suspect(&mut self, now: u64) -> Worker {
@@ -132,7 +132,7 @@
     /// Its part of the table's digest.
     fn digest(&self) -> u64 {
         if self.may_be_suspected() {
-            self.material
+            self.material_digest
         } else {
             0
         }
@@ -171,14 +171,14 @@
     /// Ids by address, to find an address that is used again.
     by_address: HashMap<String, BTreeSet<String>>,
     /// Number of heartbeats heard directly.
-    marker: u64,
+    cursor: u64,
     last_tick: Option<u64>,
     /// Silence counts from here at the earliest.
     silence_from: u64,
     /// [`WorkerTable::digest`], kept up to date.
     digest: u64,
     /// Number of entries forgotten so far.
-    forgotten_entries: u64,
+    evicted_entries: u64,
     /// No entry is due to be suspected before this time.
     next_suspicion: u64,
     /// No entry is due to be forgotten before this time.
@@ -189,17 +189,17 @@
 
 impl WorkerTable {
     /// An empty table.
-    pub fn new(suspect_after: SuspectAfter) -> WorkerTable {
+    pub fn new(suspect_after: SuspicionTimeout) -> WorkerTable {
         WorkerTable {
             suspect_after: suspect_after.0,
             entries: BTreeMap::new(),
             forgotten: HashMap::new(),
             by_address: HashMap::new(),
-            marker: 0,
+            cursor: 0,
             last_tick: None,
             silence_from: 0,
             digest: 0,
-            forgotten_entries: 0,
+            evicted_entries: 0,
             next_suspicion: 0,
             next_forgetting: 0,
             next_drop: 0,
@@ -211,35 +211,35 @@
     /// Other instances at its address have ended, as only one can be there. They become suspected, not
     /// gone: heartbeats may be read late and in the wrong order by a node that stood still, and a worker
     /// that is suspected by mistake is cleared by its next heartbeat.
-    pub fn beat(&mut self, now: u64, worker: Worker) -> BeatOutcome {
+    pub fn record_heartbeat(&mut self, now: u64, worker: Worker) -> HeartbeatOutcome {
         let id = worker.id.clone();
         let merge = self.merge(now, worker);
-        let accepted = matches!(merge, Merge::Heard | Merge::Changed);
+        let accepted = matches!(merge, MergeOutcome::Refreshed | MergeOutcome::Changed);
         if !accepted {
-            return BeatOutcome { merge, displaced: Vec::new() };
+            return HeartbeatOutcome { merge, displaced: Vec::new() };
         }
-        self.marker += 1;
+        self.cursor += 1;
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.heard_mark = Some(self.marker);
+            entry.heartbeat_cursor = Some(self.cursor);
         }
-        BeatOutcome { merge, displaced: self.displace(now, &id) }
+        HeartbeatOutcome { merge, displaced: self.displace(now, &id) }
     }
 
     /// Merges an entry of another node's table at `now`.
-    pub fn merge(&mut self, now: u64, worker: Worker) -> Merge {
+    pub fn merge(&mut self, now: u64, worker: Worker) -> MergeOutcome {
         if let Some(forgotten) = self.forgotten.get(&worker.id) {
             if forgotten.covers_entry(&worker) {
-                return Merge::Unchanged;
+                return MergeOutcome::Unchanged;
             }
             self.forgotten.remove(&worker.id);
         }
         let Some(entry) = self.entries.get_mut(&worker.id) else {
             self.insert(now, worker);
-            return Merge::Changed;
+            return MergeOutcome::Changed;
         };
         let differs = worker.differs_materially(&entry.worker);
         if !worker.supersedes(&entry.worker) {
-            return if differs { Merge::Superseded } else { Merge::Unchanged };
+            return if differs { MergeOutcome::Superseded } else { MergeOutcome::Unchanged };
         }
         let moved = worker.address != entry.worker.address;
         let previous_address = entry.worker.address.clone();
@@ -255,43 +255,43 @@
             self.by_address.entry(address).or_default().insert(id);
         }
         if differs {
-            Merge::Changed
+            MergeOutcome::Changed
         } else {
-            Merge::Heard
+            MergeOutcome::Refreshed
         }
     }
 
     /// Takes a heartbeat that another node heard directly.
-    pub fn heard(&mut self, now: u64, beat: &HeardBeat) -> HeardOutcome {
-        let Some(entry) = self.entries.get_mut(&beat.id) else {
-            let forgotten = self.forgotten.get(&beat.id);
-            return match forgotten.is_some_and(|forgotten| forgotten.covers_beat(beat.sequence)) {
-                true => HeardOutcome::Known,
-                false => HeardOutcome::Missing,
+    pub fn apply_digest(&mut self, now: u64, heartbeat: &HeartbeatDigest) -> DigestOutcome {
+        let Some(entry) = self.entries.get_mut(&heartbeat.id) else {
+            let forgotten = self.forgotten.get(&heartbeat.id);
+            return match forgotten.is_some_and(|forgotten| forgotten.covers_beat(heartbeat.sequence)) {
+                true => DigestOutcome::UpToDate,
+                false => DigestOutcome::EntryMissing,
             };
         };
-        if entry.worker.is_gone() || beat.sequence <= entry.worker.sequence {
-            return HeardOutcome::Known;
+        if entry.worker.is_gone() || heartbeat.sequence <= entry.worker.sequence {
+            return DigestOutcome::UpToDate;
         }
         entry.last_heard = now;
-        if beat.material != entry.material {
-            return HeardOutcome::Missing;
+        if heartbeat.material_digest != entry.material_digest {
+            return DigestOutcome::EntryMissing;
         }
-        entry.worker.sequence = beat.sequence;
+        entry.worker.sequence = heartbeat.sequence;
         if !entry.worker.suspected {
-            return HeardOutcome::Known;
+            return DigestOutcome::UpToDate;
         }
         entry.worker.suspected = false;
         entry.arm_forgetting(now);
         self.digest = self.digest.wrapping_add(entry.digest());
         self.next_suspicion = self.next_suspicion.min(now.saturating_add(self.suspect_after));
-        HeardOutcome::Cleared(Box::new(entry.worker.clone()))
+        DigestOutcome::SuspicionCleared(Box::new(entry.worker.clone()))
     }
 
     /// Marks an instance as ended and gives the entry to publish, also for an id that is not known.
-    pub fn end(&mut self, now: u64, id: &str) -> Worker {
+    pub fn mark_gone(&mut self, now: u64, id: &str) -> Worker {
         let known = self.entries.get(id);
-        let ended = known.map_or_else(|| Worker::gone(id), |entry| entry.worker.ended());
+        let ended = known.map_or_else(|| Worker::gone(id), |entry| entry.worker.to_gone());
         self.merge(now, ended.clone());
         ended
     }
@@ -301,7 +301,7 @@
     pub fn suspect(&mut self, now: u64, id: &str) -> Option<Worker> {
         let entry = self.entries.get_mut(id).filter(|entry| entry.may_be_suspected())?;
         self.digest = self.digest.wrapping_sub(entry.digest());
-        self.next_forgetting = self.next_forgetting.min(now.saturating_add(FORGET_AFTER_MS));
+        self.next_forgetting = self.next_forgetting.min(now.saturating_add(EVICT_AFTER_MS));
         Some(entry.suspect(now))
     }
 
@@ -322,14 +322,14 @@
     }
 
     /// The heartbeats heard directly since `marker`; 0 asks for all.
-    pub fn heard_since(&self, marker: u64) -> HeardSummary {
-        let is_newer = |entry: &&Entry| entry.heard_mark.is_some_and(|mark| mark > marker);
-        let beats = self.entries.values().filter(is_newer).map(|entry| HeardBeat {
+    pub fn heartbeats_since(&self, cursor: u64) -> HeartbeatSummary {
+        let is_newer = |entry: &&Entry| entry.heartbeat_cursor.is_some_and(|position| position > cursor);
+        let heartbeats = self.entries.values().filter(is_newer).map(|entry| HeartbeatDigest {
             id: entry.worker.id.clone(),
             sequence: entry.worker.sequence,
-            material: entry.material,
+            material_digest: entry.material_digest,
         });
-        HeardSummary { marker: self.marker, beats: beats.collect() }
+        HeartbeatSummary { cursor: self.cursor, heartbeats: heartbeats.collect() }
     }
 
     /// The entry of an instance.
@@ -360,8 +360,8 @@
     }
 
     /// Number of entries forgotten so far.
-    pub fn forgotten_entries(&self) -> u64 {
-        self.forgotten_entries
+    pub fn evicted_entries(&self) -> u64 {
+        self.evicted_entries
     }
 
     fn insert(&mut self, now: u64, worker: Worker) {
@@ -409,7 +409,7 @@
             };
             self.next_drop = self.next_drop.min(forgotten.until);
             self.forgotten.insert(id, forgotten);
-            self.forgotten_entries += 1;
+            self.evicted_entries += 1;
         }
         let due = self.entries.values().filter_map(|entry| entry.forget_at);
         self.next_forgetting = due.min().unwrap_or(u64::MAX);
--- a/crates/registration/src/worker.rs
+++ b/crates/registration/src/worker.rs
@@ -69,7 +69,7 @@
     }
 
     /// The entry that says this instance has ended.
-    pub fn ended(&self) -> Worker {
+    pub fn to_gone(&self) -> Worker {
         Worker { state: WorkerState::Gone, suspected: false, ..self.clone() }
     }
 
--- a/crates/registration/tests/convergence.rs
+++ b/crates/registration/tests/convergence.rs
@@ -3,7 +3,8 @@
 use fastrand::Rng;
 use googletest::prelude::*;
 use switchhill_registration::{
-    HeardBeat, HeardOutcome, Merge, ResidentModel, SuspectAfter, Worker, WorkerState, WorkerTable,
+    DigestOutcome, HeartbeatDigest, MergeOutcome, ResidentModel, SuspicionTimeout, Worker, WorkerState,
+    WorkerTable,
 };
 
 const SUSPECT_AFTER_MS: u64 = 2_600;
@@ -14,7 +15,7 @@
 const SEEDS: u64 = 100;
 
 fn table() -> WorkerTable {
-    WorkerTable::new(SuspectAfter(SUSPECT_AFTER_MS))
+    WorkerTable::new(SuspicionTimeout(SUSPECT_AFTER_MS))
 }
 
 /// What the heartbeat `sequence` of a worker says: by the seed, the same wherever it arrives.
@@ -76,7 +77,7 @@
 fn random_entry(seed: u64, rng: &mut Rng) -> Worker {
     let entry = beat_of(seed, rng.usize(0..WORKERS), rng.u64(1..20));
     match rng.u8(0..20) {
-        0 => entry.ended(),
+        0 => entry.to_gone(),
         1..=4 => Worker { suspected: true, ..entry },
         _ => entry,
     }
@@ -85,7 +86,7 @@
 /// A message between tables on its way.
 enum Message {
     Entry(Worker),
-    Beats(usize, Vec<HeardBeat>),
+    Beats(usize, Vec<HeartbeatDigest>),
     Wanted(usize, String),
     /// For the subscriber of this number, which is told what changes and no more.
     Pushed(Worker),
@@ -142,9 +143,9 @@
         let at = self.rng.usize(0..TABLES);
         let worker = beat_of(self.seed, number, self.sequences[number]);
         let id = worker.id.clone();
-        let outcome = self.tables[at].beat(self.now, worker);
+        let outcome = self.tables[at].record_heartbeat(self.now, worker);
         assert!(outcome.displaced.is_empty());
-        if outcome.merge == Merge::Changed {
+        if outcome.merge == MergeOutcome::Changed {
             let worker = self.tables[at].get(&id).unwrap().clone();
             self.publish(at, &worker);
         }
@@ -153,15 +154,15 @@
     fn end(&mut self, number: usize) {
         self.ended[number] = true;
         let at = self.rng.usize(0..TABLES);
-        let ended = self.tables[at].end(self.now, &format!("w{number}"));
+        let ended = self.tables[at].mark_gone(self.now, &format!("w{number}"));
         self.publish(at, &ended);
     }
 
     fn summarize(&mut self, at: usize) {
-        let summary = self.tables[at].heard_since(self.markers[at]);
-        self.markers[at] = summary.marker;
+        let summary = self.tables[at].heartbeats_since(self.markers[at]);
+        self.markers[at] = summary.cursor;
         for to in (0..TABLES).filter(|to| *to != at) {
-            self.on_way.push((to, Message::Beats(at, summary.beats.clone())));
+            self.on_way.push((to, Message::Beats(at, summary.heartbeats.clone())));
         }
     }
 
@@ -194,17 +195,17 @@
         let merge = self.tables[at].merge(self.now, worker);
         let held = self.tables[at].get(&id).cloned();
         match (merge, held) {
-            (Merge::Changed, Some(held)) => self.push(at, &held),
-            (Merge::Superseded, Some(held)) => self.publish(at, &held),
+            (MergeOutcome::Changed, Some(held)) => self.push(at, &held),
+            (MergeOutcome::Superseded, Some(held)) => self.publish(at, &held),
             _ => {}
         }
     }
 
-    fn take_heard(&mut self, at: usize, from: usize, beat: &HeardBeat) {
-        match self.tables[at].heard(self.now, beat) {
-            HeardOutcome::Known => {}
-            HeardOutcome::Cleared(worker) => self.publish(at, &worker),
-            HeardOutcome::Missing => self.on_way.push((from, Message::Wanted(at, beat.id.clone()))),
+    fn take_heard(&mut self, at: usize, from: usize, beat: &HeartbeatDigest) {
+        match self.tables[at].apply_digest(self.now, beat) {
+            DigestOutcome::UpToDate => {}
+            DigestOutcome::SuspicionCleared(worker) => self.publish(at, &worker),
+            DigestOutcome::EntryMissing => self.on_way.push((from, Message::Wanted(at, beat.id.clone()))),
         }
     }
 
--- a/crates/registration/tests/deadlines.rs
+++ b/crates/registration/tests/deadlines.rs
@@ -3,7 +3,7 @@
 use fastrand::Rng;
 use googletest::prelude::*;
 use std::collections::BTreeMap;
-use switchhill_registration::{HeardBeat, SuspectAfter, Worker, WorkerTable, FORGET_AFTER_MS};
+use switchhill_registration::{HeartbeatDigest, SuspicionTimeout, Worker, WorkerTable, EVICT_AFTER_MS};
 
 const SUSPECT_AFTER_MS: u64 = 3_000;
 const WORKERS: u64 = 8;
@@ -41,7 +41,7 @@
         if self.ended.contains_key(id) || self.entries.get(id).is_some_and(|known| known.gone) {
             return;
         }
-        let forget_at = Some(now + FORGET_AFTER_MS);
+        let forget_at = Some(now + EVICT_AFTER_MS);
         let known = Known { gone: true, suspected: false, last_heard: now, forget_at };
         self.entries.insert(id.to_owned(), known);
     }
@@ -59,7 +59,7 @@
         for (id, known) in self.entries.iter_mut().filter(|(_, known)| !known.gone && !known.suspected) {
             if now - known.last_heard.max(self.silence_from) >= SUSPECT_AFTER_MS {
                 known.suspected = true;
-                known.forget_at = Some(now + FORGET_AFTER_MS);
+                known.forget_at = Some(now + EVICT_AFTER_MS);
                 suspected.push(id.clone());
             }
         }
@@ -84,16 +84,16 @@
     let id = format!("w{}", random.u64(0..WORKERS));
     match random.u32(0..40) {
         0 => {
-            table.end(now, &id);
+            table.mark_gone(now, &id);
             model.ended(now, &id);
         }
         1..20 => {
-            table.beat(now, worker(&id, sequence));
+            table.record_heartbeat(now, worker(&id, sequence));
             model.heard(now, &id);
         }
         20..30 if model.entries.contains_key(&id) => {
-            let material = table.get(&id).expect("an entry").material_digest();
-            table.heard(now, &HeardBeat { id: id.clone(), sequence, material });
+            let material_digest = table.get(&id).expect("an entry").material_digest();
+            table.apply_digest(now, &HeartbeatDigest { id: id.clone(), sequence, material_digest });
             model.heard(now, &id);
         }
         _ => {}
@@ -104,7 +104,7 @@
 fn digest_suspicions_and_forgetting_are_those_found_anew() {
     for seed in 0..SEEDS {
         let mut random = Rng::with_seed(seed);
-        let mut table = WorkerTable::new(SuspectAfter(SUSPECT_AFTER_MS));
+        let mut table = WorkerTable::new(SuspicionTimeout(SUSPECT_AFTER_MS));
         let mut model = Model::default();
         table.tick(0, true);
         let mut now = 0;
@@ -126,11 +126,11 @@
 
 #[gtest]
 fn an_instance_that_displaces_another_leaves_the_digest_right() {
-    let mut table = WorkerTable::new(SuspectAfter(SUSPECT_AFTER_MS));
-    table.beat(0, worker("old", 1));
-    table.beat(0, Worker { address: "old:80".to_owned(), ..worker("new", 1) });
+    let mut table = WorkerTable::new(SuspicionTimeout(SUSPECT_AFTER_MS));
+    table.record_heartbeat(0, worker("old", 1));
+    table.record_heartbeat(0, Worker { address: "old:80".to_owned(), ..worker("new", 1) });
     expect_true!(table.get("old").is_some_and(|worker| worker.suspected));
     expect_that!(table.digest(), eq(found_anew(&table)));
-    table.tick(FORGET_AFTER_MS, false);
+    table.tick(EVICT_AFTER_MS, false);
     expect_that!(table.get("old"), none());
 }
--- a/crates/registration/tests/heartbeat.rs
+++ b/crates/registration/tests/heartbeat.rs
@@ -85,7 +85,7 @@
     let worker = parse(BEAT).unwrap();
     let draining = Worker { state: WorkerState::Draining { remaining_ms: Some(0) }, ..worker.clone() };
     let suspected = Worker { suspected: true, ..worker.clone() };
-    for worker in [worker.ended(), worker, draining, suspected, Worker::gone("i-2")] {
+    for worker in [worker.to_gone(), worker, draining, suspected, Worker::gone("i-2")] {
         expect_that!(Worker::from_bytes(&worker.to_bytes()), ok(eq(&worker)));
     }
     expect_that!(Worker::from_bytes(b"\xff\xff"), err(anything()));
--- a/crates/registration/tests/table.rs
+++ b/crates/registration/tests/table.rs
@@ -2,8 +2,8 @@
 
 use googletest::prelude::*;
 use switchhill_registration::{
-    HeardBeat, HeardOutcome, Merge, ResidentModel, SuspectAfter, Worker, WorkerState, WorkerTable,
-    FORGET_AFTER_MS,
+    DigestOutcome, HeartbeatDigest, MergeOutcome, ResidentModel, SuspicionTimeout, Worker, WorkerState,
+    WorkerTable, EVICT_AFTER_MS,
 };
 
 const SUSPECT_AFTER_MS: u64 = 3_000;
@@ -11,7 +11,7 @@
 const TICK_MS: u64 = 200;
 
 fn table() -> WorkerTable {
-    WorkerTable::new(SuspectAfter(SUSPECT_AFTER_MS))
+    WorkerTable::new(SuspicionTimeout(SUSPECT_AFTER_MS))
 }
 
 fn worker(id: &str, sequence: u64) -> Worker {
@@ -47,14 +47,14 @@
 #[gtest]
 fn higher_sequence_wins_and_gone_is_final() {
     let mut table = table();
-    expect_that!(table.merge(0, worker("w", 4)), eq(Merge::Changed));
-    expect_that!(table.merge(0, worker("w", 4)), eq(Merge::Unchanged));
-    expect_that!(table.merge(0, worker("w", 3)), eq(Merge::Unchanged));
-    expect_that!(table.merge(0, worker("w", 5)), eq(Merge::Heard));
-    expect_that!(table.merge(0, draining("w", 6)), eq(Merge::Changed));
-    expect_that!(table.merge(0, worker("w", 5)), eq(Merge::Superseded));
-    expect_that!(table.merge(0, worker("w", 2).ended()), eq(Merge::Changed));
-    expect_that!(table.merge(0, worker("w", 9)), eq(Merge::Superseded));
+    expect_that!(table.merge(0, worker("w", 4)), eq(MergeOutcome::Changed));
+    expect_that!(table.merge(0, worker("w", 4)), eq(MergeOutcome::Unchanged));
+    expect_that!(table.merge(0, worker("w", 3)), eq(MergeOutcome::Unchanged));
+    expect_that!(table.merge(0, worker("w", 5)), eq(MergeOutcome::Refreshed));
+    expect_that!(table.merge(0, draining("w", 6)), eq(MergeOutcome::Changed));
+    expect_that!(table.merge(0, worker("w", 5)), eq(MergeOutcome::Superseded));
+    expect_that!(table.merge(0, worker("w", 2).to_gone()), eq(MergeOutcome::Changed));
+    expect_that!(table.merge(0, worker("w", 9)), eq(MergeOutcome::Superseded));
     expect_true!(table.get("w").unwrap().is_gone());
 }
 
@@ -62,11 +62,11 @@
 fn suspicion_wins_at_its_sequence_only() {
     let mut table = table();
     table.merge(0, worker("w", 4));
-    expect_that!(table.merge(0, suspected("w", 3)), eq(Merge::Superseded));
-    expect_that!(table.merge(0, suspected("w", 4)), eq(Merge::Changed));
-    expect_that!(table.merge(0, worker("w", 4)), eq(Merge::Superseded));
+    expect_that!(table.merge(0, suspected("w", 3)), eq(MergeOutcome::Superseded));
+    expect_that!(table.merge(0, suspected("w", 4)), eq(MergeOutcome::Changed));
+    expect_that!(table.merge(0, worker("w", 4)), eq(MergeOutcome::Superseded));
     expect_that!(table.ready_of_service("chat").count(), eq(0));
-    expect_that!(table.beat(0, worker("w", 5)).merge, eq(Merge::Changed));
+    expect_that!(table.record_heartbeat(0, worker("w", 5)).merge, eq(MergeOutcome::Changed));
     expect_that!(table.ready_of_service("chat").count(), eq(1));
 }
 
@@ -74,8 +74,8 @@
 fn what_counts_down_by_itself_is_no_change() {
     let mut table = table();
     let cold = |sequence, cold_remaining_ms| Worker { cold_remaining_ms, ..worker("w", sequence) };
-    table.beat(0, cold(1, 900));
-    expect_that!(table.beat(500, cold(2, 400)).merge, eq(Merge::Heard));
+    table.record_heartbeat(0, cold(1, 900));
+    expect_that!(table.record_heartbeat(500, cold(2, 400)).merge, eq(MergeOutcome::Refreshed));
     expect_that!(table.get("w").unwrap().cold_remaining_ms, eq(400));
     let left = |now| table.snapshot(now)[0].cold_remaining_ms;
     expect_that!([left(500), left(800), left(5_000)], eq([400, 100, 0]));
@@ -85,16 +85,16 @@
 fn silent_worker_is_suspected_once_and_cleared_by_its_next_heartbeat() {
     let mut table = table();
     ticks(&mut table, 0, 800, true);
-    table.beat(1_000, worker("w", 1));
+    table.record_heartbeat(1_000, worker("w", 1));
     expect_that!(ticks(&mut table, 1_000, 10_000, true), eq(&vec![(4_000, "w".to_owned())]));
-    expect_that!(table.beat(10_000, worker("w", 2)).merge, eq(Merge::Changed));
+    expect_that!(table.record_heartbeat(10_000, worker("w", 2)).merge, eq(MergeOutcome::Changed));
     expect_false!(table.get("w").unwrap().suspected);
 }
 
 #[gtest]
 fn silence_counts_anew_once_the_node_may_suspect() {
     let mut table = table();
-    table.beat(0, worker("w", 1));
+    table.record_heartbeat(0, worker("w", 1));
     expect_that!(ticks(&mut table, 0, 20_000, false), is_empty());
     expect_that!(ticks(&mut table, 20_200, 30_000, true), eq(&vec![(23_000, "w".to_owned())]));
 }
@@ -102,7 +102,7 @@
 #[gtest]
 fn node_that_stood_still_suspects_nobody_at_once() {
     let mut table = table();
-    table.beat(0, worker("w", 1));
+    table.record_heartbeat(0, worker("w", 1));
     ticks(&mut table, 0, 1_000, true);
     expect_that!(table.tick(60_000, true), is_empty());
     expect_that!(ticks(&mut table, 60_200, 70_000, true), eq(&vec![(63_000, "w".to_owned())]));
@@ -115,14 +115,14 @@
     let mut marker = 0;
     for sequence in 1..10 {
         let now = sequence * 1_000;
-        near.beat(now, worker("w", sequence));
-        let summary = near.heard_since(marker);
-        marker = summary.marker;
-        expect_that!(summary.beats, len(eq(1)));
-        expect_that!(far.heard(now, &summary.beats[0]), eq(&HeardOutcome::Known));
+        near.record_heartbeat(now, worker("w", sequence));
+        let summary = near.heartbeats_since(marker);
+        marker = summary.cursor;
+        expect_that!(summary.heartbeats, len(eq(1)));
+        expect_that!(far.apply_digest(now, &summary.heartbeats[0]), eq(&DigestOutcome::UpToDate));
         expect_that!(ticks(&mut far, now, now + 800, true), is_empty());
     }
-    expect_that!(near.heard_since(marker).beats, is_empty());
+    expect_that!(near.heartbeats_since(marker).heartbeats, is_empty());
     expect_that!(far.get("w").unwrap().sequence, eq(9));
     expect_that!(far.digest(), eq(near.digest()));
 }
@@ -130,48 +130,48 @@
 #[gtest]
 fn summary_clears_a_suspicion_or_shows_what_is_missing() {
     let mut table = table();
-    let beat = |worker: &Worker| HeardBeat {
+    let beat = |worker: &Worker| HeartbeatDigest {
         id: worker.id.clone(),
         sequence: worker.sequence,
-        material: worker.material_digest(),
+        material_digest: worker.material_digest(),
     };
-    expect_that!(table.heard(0, &beat(&worker("w", 1))), eq(&HeardOutcome::Missing));
+    expect_that!(table.apply_digest(0, &beat(&worker("w", 1))), eq(&DigestOutcome::EntryMissing));
     table.merge(0, suspected("w", 4));
-    expect_that!(table.heard(0, &beat(&worker("w", 4))), eq(&HeardOutcome::Known));
+    expect_that!(table.apply_digest(0, &beat(&worker("w", 4))), eq(&DigestOutcome::UpToDate));
     expect_that!(
-        table.heard(0, &beat(&worker("w", 5))),
-        eq(&HeardOutcome::Cleared(Box::new(worker("w", 5))))
+        table.apply_digest(0, &beat(&worker("w", 5))),
+        eq(&DigestOutcome::SuspicionCleared(Box::new(worker("w", 5))))
     );
-    expect_that!(table.heard(0, &beat(&draining("w", 6))), eq(&HeardOutcome::Missing));
+    expect_that!(table.apply_digest(0, &beat(&draining("w", 6))), eq(&DigestOutcome::EntryMissing));
     expect_that!(table.get("w").unwrap().sequence, eq(5));
-    table.end(0, "w");
-    expect_that!(table.heard(0, &beat(&worker("w", 7))), eq(&HeardOutcome::Known));
+    table.mark_gone(0, "w");
+    expect_that!(table.apply_digest(0, &beat(&worker("w", 7))), eq(&DigestOutcome::UpToDate));
 }
 
 #[gtest]
 fn another_instance_at_the_address_displaces_the_earlier_one() {
     let mut table = table();
     let at_address = |id: &str, sequence| Worker { address: "shared:80".to_owned(), ..worker(id, sequence) };
-    table.beat(0, at_address("old", 9));
-    let outcome = table.beat(5_000, at_address("new", 1));
+    table.record_heartbeat(0, at_address("old", 9));
+    let outcome = table.record_heartbeat(5_000, at_address("new", 1));
     expect_that!(outcome.displaced, eq(&vec![Worker { suspected: true, ..at_address("old", 9) }]));
     // A heartbeat of the earlier one that is read late does not last.
-    let late = table.beat(5_100, at_address("old", 10));
+    let late = table.record_heartbeat(5_100, at_address("old", 10));
     expect_that!(late.displaced, len(eq(1)));
-    let next = table.beat(6_000, at_address("new", 2));
-    expect_that!(next.merge, eq(Merge::Changed));
+    let next = table.record_heartbeat(6_000, at_address("new", 2));
+    expect_that!(next.merge, eq(MergeOutcome::Changed));
     expect_that!(next.displaced, len(eq(1)));
     let ready: Vec<&str> = table.ready_of_service("chat").map(|worker| worker.id.as_str()).collect();
     expect_that!(ready, eq(&vec!["new"]));
-    expect_that!(table.beat(7_000, at_address("new", 3)).displaced, is_empty());
+    expect_that!(table.record_heartbeat(7_000, at_address("new", 3)).displaced, is_empty());
 }
 
 #[gtest]
 fn end_of_an_unknown_instance_is_kept() {
     let mut table = table();
-    let ended = table.end(0, "w");
+    let ended = table.mark_gone(0, "w");
     expect_that!(ended, eq(&Worker::gone("w")));
-    expect_that!(table.merge(0, worker("w", 7)), eq(Merge::Superseded));
+    expect_that!(table.merge(0, worker("w", 7)), eq(MergeOutcome::Superseded));
     expect_true!(table.get("w").unwrap().is_gone());
 }
 
@@ -179,21 +179,21 @@
 fn forgotten_entries_are_not_brought_back_by_slower_tables() {
     let mut table = table();
     table.merge(0, worker("ended", 3));
-    table.end(0, "ended");
+    table.mark_gone(0, "ended");
     table.merge(0, suspected("silent", 3));
-    let empty_digest = WorkerTable::new(SuspectAfter(SUSPECT_AFTER_MS)).digest();
+    let empty_digest = WorkerTable::new(SuspicionTimeout(SUSPECT_AFTER_MS)).digest();
     expect_that!(table.digest(), eq(empty_digest));
-    table.tick(FORGET_AFTER_MS - 1, true);
+    table.tick(EVICT_AFTER_MS - 1, true);
     expect_that!(table.iter().count(), eq(2));
-    table.tick(FORGET_AFTER_MS, true);
+    table.tick(EVICT_AFTER_MS, true);
     expect_that!(table.iter().count(), eq(0));
-    let now = FORGET_AFTER_MS + 1;
-    expect_that!(table.merge(now, worker("ended", 3).ended()), eq(Merge::Unchanged));
-    expect_that!(table.merge(now, worker("ended", 9)), eq(Merge::Unchanged));
-    expect_that!(table.merge(now, suspected("silent", 3)), eq(Merge::Unchanged));
+    let now = EVICT_AFTER_MS + 1;
+    expect_that!(table.merge(now, worker("ended", 3).to_gone()), eq(MergeOutcome::Unchanged));
+    expect_that!(table.merge(now, worker("ended", 9)), eq(MergeOutcome::Unchanged));
+    expect_that!(table.merge(now, suspected("silent", 3)), eq(MergeOutcome::Unchanged));
     expect_that!(table.iter().count(), eq(0));
     // A worker that was only silent may speak again.
-    expect_that!(table.beat(now, worker("silent", 4)).merge, eq(Merge::Changed));
+    expect_that!(table.record_heartbeat(now, worker("silent", 4)).merge, eq(MergeOutcome::Changed));
 }
 
 #[gtest]
--- a/lab/src/hollow/parts.rs
+++ b/lab/src/hollow/parts.rs
@@ -12,7 +12,7 @@
 use switchhill_distribution::{FeedState, MergedState};
 use switchhill_placement as placement;
 use switchhill_protocol::{Downstream, DownstreamBody, Loads, Status, WorkerLoad, Workers};
-use switchhill_registration::{Heartbeat, SuspectAfter, Worker};
+use switchhill_registration::{Heartbeat, SuspicionTimeout, Worker};
 use switchhill_routing::{PromptPart, RequestProfile, Router, RouterSettings, WorkerView};
 
 /// Repetitions of what is timed; the mean is told.
@@ -148,7 +148,7 @@
     parts.push(Part { what: "whole worker table, merged where known", bytes: None, microseconds });
     let microseconds = time(|| feed.state().workers().digest());
     parts.push(Part { what: "digest of the worker table", bytes: None, microseconds });
-    let mut state = MergedState::new(SuspectAfter(3_120));
+    let mut state = MergedState::new(SuspicionTimeout(3_120));
     state.merge_entries(0, workers.iter().cloned());
     let microseconds = time(|| {
         now += 1;
