--- a/crates/registration/src/heartbeat.rs
+++ b/crates/registration/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Reading of the heartbeats that workers send.
+//! Parsing of worker heartbeats.
 
 use std::fmt;
 
@@ -7,35 +7,35 @@
 
 use crate::worker::{ResidentModel, Worker, WorkerState};
 
-/// The phase of a worker that does not tell one: it serves whole requests.
+/// Phase of a worker that reports none: it serves all phases of a request.
 const DEFAULT_PHASE: &str = "both";
 
-/// Why a heartbeat is refused.
+/// Error from parsing a heartbeat. Its text is part of the response to the worker.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeartbeatError {
-    /// The body is not whole JSON.
+    /// The body is not a complete JSON document.
     #[error("the body is not whole JSON: {0}")]
-    Unreadable(String),
-    /// A field is missing or has a value that it cannot have.
+    InvalidJson(String),
+    /// A field is missing or has an invalid value.
     #[error("field {field}: {detail}")]
     Field {
-        /// The field, by its name in the text; `.` for the whole body.
+        /// Path of the field in the JSON document; `.` for the document itself.
         field: String,
-        /// What was found.
+        /// Description of the problem.
         detail: String,
     },
 }
 
-/// The reader of heartbeats.
+/// Parser for heartbeat bodies.
 #[derive(Clone, Copy, Debug)]
 pub struct Heartbeat;
 
 impl Heartbeat {
-    /// Reads the body of a heartbeat of the instance `id`. Unknown fields are passed over.
+    /// Parses the body of a heartbeat from the instance `id`. Unknown fields are ignored.
     ///
     /// # Errors
-    /// The body is not whole JSON, or one of `service`, `address`, `sequence` is missing, or a field is of
-    /// the wrong type.
+    /// The body is not a complete JSON document, `service`, `address` or `sequence` is missing, or a field
+    /// has the wrong type or an invalid value.
     pub fn parse(id: &str, body: &[u8]) -> Result<Worker, HeartbeatError> {
         let mut deserializer = serde_json::Deserializer::from_slice(body);
         let fields: HeartbeatFields =
@@ -45,10 +45,10 @@
                     serde_json::error::Category::Data => {
                         HeartbeatError::Field { field: error.path().to_string(), detail }
                     }
-                    _ => HeartbeatError::Unreadable(detail),
+                    _ => HeartbeatError::InvalidJson(detail),
                 }
             })?;
-        deserializer.end().map_err(|error| HeartbeatError::Unreadable(error.to_string()))?;
+        deserializer.end().map_err(|error| HeartbeatError::InvalidJson(error.to_string()))?;
         fields.into_worker(id)
     }
 }
@@ -60,23 +60,23 @@
     address: String,
     zone: Option<String>,
     revision: Option<String>,
-    #[serde(default, deserialize_with = "whole")]
+    #[serde(default, deserialize_with = "non_negative_integer")]
     slots: Option<u64>,
     state: Option<String>,
-    #[serde(default, deserialize_with = "whole")]
+    #[serde(default, deserialize_with = "non_negative_integer")]
     remaining_ms: Option<u64>,
-    #[serde(default, deserialize_with = "whole")]
+    #[serde(default, deserialize_with = "non_negative_integer")]
     cold_remaining_ms: Option<u64>,
     phase: Option<String>,
     models: Option<Vec<ModelFields>>,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "non_negative_integer")]
     sequence: Option<u64>,
 }
 
 #[derive(Deserialize)]
 struct ModelFields {
     name: String,
-    #[serde(default, deserialize_with = "whole")]
+    #[serde(default, deserialize_with = "non_negative_integer")]
     revision: Option<u64>,
     adapters: Option<Vec<String>>,
 }
@@ -121,14 +121,14 @@
     HeartbeatError::Field { field: field.to_owned(), detail }
 }
 
-/// Reads a number that is not negative, also when it is written with a fraction, which is rounded up.
-fn whole<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<u64>, D::Error> {
-    deserializer.deserialize_any(WholeNumber)
+/// Deserializes a non-negative number, or null; a fraction is rounded up to the next integer.
+fn non_negative_integer<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<u64>, D::Error> {
+    deserializer.deserialize_any(NonNegativeInteger)
 }
 
-struct WholeNumber;
+struct NonNegativeInteger;
 
-impl Visitor<'_> for WholeNumber {
+impl Visitor<'_> for NonNegativeInteger {
     type Value = Option<u64>;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -141,7 +141,7 @@
 
     fn visit_f64<E: de::Error>(self, number: f64) -> Result<Option<u64>, E> {
         match number >= 0.0 {
-            // The cast saturates, so a number past the range counts as the largest.
+            // The cast saturates: numbers above the range of u64 become u64::MAX.
             true => Ok(Some(number.ceil() as u64)),
             false => Err(E::invalid_value(de::Unexpected::Float(number), &self)),
         }
--- a/crates/registration/src/lib.rs
+++ b/crates/registration/src/lib.rs
@@ -1,8 +1,8 @@
-//! Workers: instances, heartbeats by sequence, draining, gone, suspected.
+//! Worker registration: heartbeats, worker state and failure suspicion.
 //!
-//! Every core node and every gatekeeper holds a [`WorkerTable`]. Entries are ordered in full (see
-//! [`Worker::supersedes`]), so tables that merged the same entries, in any order and any number of times,
-//! are the same.
+//! Every core node and every gatekeeper holds a [`WorkerTable`]. Entries of one instance are totally ordered
+//! (see [`Worker::supersedes`]), which makes merging commutative, associative and idempotent: replicas that
+//! merged the same entries, in any order and any number of times, are equal.
 
 mod heartbeat;
 mod record;
--- a/crates/registration/src/record.rs
+++ b/crates/registration/src/record.rs
@@ -1,17 +1,17 @@
-//! The encoding of workers on the wire between nodes.
+//! Wire encoding of workers between nodes.
 
 use prost::Message;
 
 use crate::worker::{ResidentModel, Worker, WorkerState};
 
-/// Why the bytes are no worker.
+/// Error from decoding a worker.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// They do not decode.
-    #[error("the worker does not decode: {0}")]
+    /// The bytes are not a valid record.
+    #[error("invalid worker record: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// The state is none that is known.
-    #[error("the state {0} is not known")]
+    /// The record has an unknown state.
+    #[error("unknown worker state {0}")]
     UnknownState(u32),
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Worker {
-    /// Encodes the worker; equal workers give equal bytes.
+    /// Encodes the worker. The encoding is deterministic: equal workers give equal bytes.
     pub fn to_bytes(&self) -> Vec<u8> {
         let (state, remaining_ms) = match self.state {
             WorkerState::Ready => (STATE_READY, None),
@@ -88,7 +88,7 @@
     /// Decodes a worker.
     ///
     /// # Errors
-    /// The bytes do not decode or hold a state that is not known.
+    /// The bytes are not a valid record, or the state is unknown.
     pub fn from_bytes(bytes: &[u8]) -> Result<Worker, RecordError> {
         let record = WorkerRecord::decode(bytes)?;
         let state = match record.state {
--- a/crates/registration/src/worker.rs
+++ b/crates/registration/src/worker.rs
@@ -1,110 +1,114 @@
-//! One instance of a worker, as its newest known heartbeat describes it.
+//! A worker instance as described by its latest known heartbeat.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Whether a worker takes requests.
+/// Lifecycle state of a worker instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum WorkerState {
-    /// It takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// It is leaving and takes no new requests.
+    /// Shutting down; accepts no new requests.
     Draining {
-        /// Milliseconds from its heartbeat until it is taken away, where it was told.
+        /// Milliseconds from the heartbeat until shutdown, if the worker reported it.
         remaining_ms: Option<u64>,
     },
-    /// It has ended. Final: an id is never used again.
+    /// Terminated. This state is final: instance ids are never reused.
     Gone,
 }
 
-/// A model that a worker holds.
+/// A model loaded on a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ResidentModel {
-    /// The name of the model.
+    /// Model name.
     pub name: String,
-    /// The version of its weights; 0 where it was not told.
+    /// Revision of the weights; 0 if not reported.
     pub revision: u64,
-    /// The adapters of the model that it holds.
+    /// Adapters of the model that are loaded.
     pub adapters: Vec<String>,
 }
 
-/// One instance of a worker.
+/// A worker instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Worker {
-    /// The id, new with each start.
+    /// Instance id; every process start uses a new one.
     pub id: String,
-    /// The number of the heartbeat that said all this.
+    /// Sequence number of the heartbeat that this entry was built from.
     pub sequence: u64,
-    /// The service it works for.
+    /// Service that the worker belongs to.
     pub service: String,
-    /// Address and port.
+    /// Network address, as `host:port`.
     pub address: String,
-    /// The zone it runs in.
+    /// Availability zone.
     pub zone: String,
-    /// The version of its software.
+    /// Software revision.
     pub revision: String,
-    /// Requests that it runs at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Lifecycle state.
     pub state: WorkerState,
-    /// Milliseconds from its heartbeat for which it is still slow from its start.
+    /// Milliseconds from the heartbeat until the cold-start phase ends.
     pub cold_remaining_ms: u64,
-    /// The phase of inference it serves.
+    /// Inference phase that the worker serves.
     pub phase: String,
-    /// The models that it holds.
+    /// Models loaded on the worker.
     pub models: Vec<ResidentModel>,
-    /// It was not heard of for some time after this heartbeat.
+    /// Suspected to have failed after this heartbeat; the next heartbeat clears the suspicion.
     pub suspected: bool,
 }
 
 impl Worker {
-    /// Whether it takes requests and is not suspected.
+    /// Returns whether the worker accepts requests and is not suspected.
     pub fn is_ready(&self) -> bool {
         self.state == WorkerState::Ready && !self.suspected
     }
 
-    /// Whether it has ended.
+    /// Returns whether the instance has terminated.
     pub fn is_gone(&self) -> bool {
         self.state == WorkerState::Gone
     }
 
-    /// The entry that says this instance has ended.
+    /// Returns a copy of this entry in state [`WorkerState::Gone`].
     pub fn to_gone(&self) -> Worker {
         Worker { state: WorkerState::Gone, suspected: false, ..self.clone() }
     }
 
-    /// The entry that says an instance has ended of which nothing else is known.
+    /// Creates an entry in state [`WorkerState::Gone`] for an instance that is otherwise unknown.
     pub fn gone(id: &str) -> Worker {
         Worker { id: id.to_owned(), state: WorkerState::Gone, ..Worker::default() }
     }
 
-    /// Whether this entry replaces `other`, an entry of the same instance. Gone is final; then the higher
-    /// sequence wins; at the same sequence, suspected wins over not suspected. The order is total: entries
-    /// that are equal in all of this and yet differ are ordered by their encoding.
+    /// Returns whether this entry replaces `other`, an entry of the same instance.
+    ///
+    /// Gone takes precedence over everything else, then the higher sequence, then suspected over not
+    /// suspected. Distinct entries that tie on all three are ordered by their encoding, so the order is
+    /// total.
     pub fn supersedes(&self, other: &Worker) -> bool {
-        let (rank, other_rank) = (self.rank(), other.rank());
-        if rank != other_rank || self == other {
-            return rank > other_rank;
+        let (precedence, other_precedence) = (self.precedence(), other.precedence());
+        if precedence != other_precedence || self == other {
+            return precedence > other_precedence;
         }
         self.to_bytes() > other.to_bytes()
     }
 
-    fn rank(&self) -> (bool, u64, bool) {
+    fn precedence(&self) -> (bool, u64, bool) {
         (self.is_gone(), self.sequence, self.suspected)
     }
 
-    /// A digest of what its heartbeats say that others must know. The sequence, the suspicion and what
-    /// counts down by itself (`cold_remaining_ms`, `remaining_ms`) do not enter.
+    /// Digest of the fields whose changes are propagated to other nodes. It excludes the sequence, the
+    /// suspicion and the countdowns (`cold_remaining_ms`, `remaining_ms`).
     pub fn material_digest(&self) -> u64 {
-        xxh3_64(&self.material().to_bytes())
+        xxh3_64(&self.material_fields().to_bytes())
     }
 
-    /// Whether it differs from `other` in what others must know, suspicion included.
+    /// Returns whether a propagated field or the suspicion differs from `other`.
     pub fn differs_materially(&self, other: &Worker) -> bool {
-        self.suspected != other.suspected || self.material() != other.material()
+        self.suspected != other.suspected || self.material_fields() != other.material_fields()
     }
 
-    fn material(&self) -> Worker {
+    /// Copy with the excluded fields of [`Worker::material_digest`] reset; `remaining_ms` only keeps whether
+    /// it is set.
+    fn material_fields(&self) -> Worker {
         let state = match self.state {
             WorkerState::Draining { remaining_ms } => {
                 WorkerState::Draining { remaining_ms: remaining_ms.map(|_| 0) }
--- a/crates/registration/tests/convergence.rs
+++ b/crates/registration/tests/convergence.rs
@@ -1,4 +1,4 @@
-//! Tables that hear of the same workers in different ways come to say the same.
+//! Convergence of replicated worker tables that receive updates in different orders and by different paths.
 
 use fastrand::Rng;
 use googletest::prelude::*;
@@ -7,7 +7,7 @@
     WorkerTable,
 };
 
-const SUSPECT_AFTER_MS: u64 = 2_600;
+const SUSPICION_TIMEOUT_MS: u64 = 2_600;
 const TABLES: usize = 4;
 const WORKERS: usize = 5;
 const STEPS: u64 = 400;
@@ -15,12 +15,12 @@
 const SEEDS: u64 = 100;
 
 fn table() -> WorkerTable {
-    WorkerTable::new(SuspicionTimeout(SUSPECT_AFTER_MS))
+    WorkerTable::new(SuspicionTimeout(SUSPICION_TIMEOUT_MS))
 }
 
-/// What the heartbeat `sequence` of a worker says: by the seed, the same wherever it arrives.
-fn beat_of(seed: u64, number: usize, sequence: u64) -> Worker {
-    // Phases of a few heartbeats, so that some change what was said and some change it back.
+/// Heartbeat `sequence` of a worker; a function of the seed, so it is the same at every table.
+fn heartbeat_of(seed: u64, number: usize, sequence: u64) -> Worker {
+    // The content changes every three heartbeats, and may change back to an earlier one.
     let mut rng = Rng::with_seed(seed ^ ((number as u64) << 32) ^ (sequence / 3));
     let state = match rng.u8(0..8) {
         0 => WorkerState::Draining { remaining_ms: rng.bool().then_some(2_000 - sequence) },
@@ -39,19 +39,19 @@
     }
 }
 
-fn contents(table: &WorkerTable) -> Vec<Worker> {
+fn all_entries(table: &WorkerTable) -> Vec<Worker> {
     table.iter().cloned().collect()
 }
 
-/// What tables have to agree on: all but sequences and what counts down.
-fn said(table: &WorkerTable) -> Vec<(String, u64, bool, bool)> {
-    let said =
+/// State on which tables have to agree: everything except sequences and countdowns.
+fn material_state(table: &WorkerTable) -> Vec<(String, u64, bool, bool)> {
+    let material =
         |worker: &Worker| (worker.id.clone(), worker.material_digest(), worker.suspected, worker.is_gone());
-    table.iter().map(said).collect()
+    table.iter().map(material).collect()
 }
 
 #[gtest]
-fn entries_merged_in_any_order_and_number_give_the_same_table() {
+fn merging_is_commutative_and_idempotent() {
     for seed in 0..SEEDS {
         let mut rng = Rng::with_seed(seed);
         let mut entries: Vec<Worker> = (0..60).map(|_| random_entry(seed, &mut rng)).collect();
@@ -62,7 +62,7 @@
             let mut other = table();
             let repeated = entries.iter().chain(entries.iter().take(rng.usize(0..60)));
             merge_all(&mut other, repeated);
-            assert_that!(contents(&other), eq(&contents(&first)), "seed {seed}");
+            assert_that!(all_entries(&other), eq(&all_entries(&first)), "seed {seed}");
             assert_that!(other.digest(), eq(first.digest()), "seed {seed}");
         }
     }
@@ -75,7 +75,7 @@
 }
 
 fn random_entry(seed: u64, rng: &mut Rng) -> Worker {
-    let entry = beat_of(seed, rng.usize(0..WORKERS), rng.u64(1..20));
+    let entry = heartbeat_of(seed, rng.usize(0..WORKERS), rng.u64(1..20));
     match rng.u8(0..20) {
         0 => entry.to_gone(),
         1..=4 => Worker { suspected: true, ..entry },
@@ -83,27 +83,27 @@
     }
 }
 
-/// A message between tables on its way.
+/// A message in flight between tables.
 enum Message {
     Entry(Worker),
-    Beats(usize, Vec<HeartbeatDigest>),
-    Wanted(usize, String),
-    /// For the subscriber of this number, which is told what changes and no more.
-    Pushed(Worker),
+    Digests(usize, Vec<HeartbeatDigest>),
+    EntryRequest(usize, String),
+    /// An update for a subscriber; subscribers receive changed entries only.
+    Update(Worker),
 }
 
-/// Several tables, and the messages between them, which arrive in any order and at times twice.
+/// Simulated network of tables that reorders and sometimes duplicates messages.
 struct Network {
     seed: u64,
     rng: Rng,
     now: u64,
     tables: Vec<WorkerTable>,
-    /// Each subscribes to the table of its number and to the next.
+    /// Subscriber `n` receives the updates of tables `n` and `n - 1`.
     subscribers: Vec<WorkerTable>,
-    markers: Vec<u64>,
-    on_way: Vec<(usize, Message)>,
+    cursors: Vec<u64>,
+    in_flight: Vec<(usize, Message)>,
     sequences: Vec<u64>,
-    ended: Vec<bool>,
+    gone: Vec<bool>,
 }
 
 impl Network {
@@ -114,34 +114,34 @@
             now: 0,
             tables: (0..TABLES).map(|_| table()).collect(),
             subscribers: (0..TABLES).map(|_| table()).collect(),
-            markers: vec![0; TABLES],
-            on_way: Vec::new(),
+            cursors: vec![0; TABLES],
+            in_flight: Vec::new(),
             sequences: vec![0; WORKERS],
-            ended: vec![false; WORKERS],
+            gone: vec![false; WORKERS],
         }
     }
 
-    /// Sends an entry to the other tables and to the subscribers of `from`.
+    /// Sends an entry from table `from` to all other tables and to its own subscribers.
     fn publish(&mut self, from: usize, worker: &Worker) {
         for to in (0..TABLES).filter(|to| *to != from) {
-            self.on_way.push((to, Message::Entry(worker.clone())));
+            self.in_flight.push((to, Message::Entry(worker.clone())));
             if self.rng.u8(0..10) == 0 {
-                self.on_way.push((to, Message::Entry(worker.clone())));
+                self.in_flight.push((to, Message::Entry(worker.clone())));
             }
         }
-        self.push(from, worker);
+        self.update_subscribers(from, worker);
     }
 
-    fn push(&mut self, from: usize, worker: &Worker) {
+    fn update_subscribers(&mut self, from: usize, worker: &Worker) {
         for subscriber in [from, (from + 1) % TABLES] {
-            self.on_way.push((subscriber, Message::Pushed(worker.clone())));
+            self.in_flight.push((subscriber, Message::Update(worker.clone())));
         }
     }
 
-    fn beat(&mut self, number: usize) {
+    fn send_heartbeat(&mut self, number: usize) {
         self.sequences[number] += 1;
         let at = self.rng.usize(0..TABLES);
-        let worker = beat_of(self.seed, number, self.sequences[number]);
+        let worker = heartbeat_of(self.seed, number, self.sequences[number]);
         let id = worker.id.clone();
         let outcome = self.tables[at].record_heartbeat(self.now, worker);
         assert!(outcome.displaced.is_empty());
@@ -151,18 +151,18 @@
         }
     }
 
-    fn end(&mut self, number: usize) {
-        self.ended[number] = true;
+    fn terminate(&mut self, number: usize) {
+        self.gone[number] = true;
         let at = self.rng.usize(0..TABLES);
-        let ended = self.tables[at].mark_gone(self.now, &format!("w{number}"));
-        self.publish(at, &ended);
+        let gone = self.tables[at].mark_gone(self.now, &format!("w{number}"));
+        self.publish(at, &gone);
     }
 
-    fn summarize(&mut self, at: usize) {
-        let summary = self.tables[at].heartbeats_since(self.markers[at]);
-        self.markers[at] = summary.cursor;
+    fn send_digests(&mut self, at: usize) {
+        let summary = self.tables[at].heartbeats_since(self.cursors[at]);
+        self.cursors[at] = summary.cursor;
         for to in (0..TABLES).filter(|to| *to != at) {
-            self.on_way.push((to, Message::Beats(at, summary.heartbeats.clone())));
+            self.in_flight.push((to, Message::Digests(at, summary.heartbeats.clone())));
         }
     }
 
@@ -173,39 +173,44 @@
     }
 
     fn deliver_one(&mut self) {
-        let chosen = self.rng.usize(0..self.on_way.len());
-        let (at, message) = self.on_way.swap_remove(chosen);
+        let chosen = self.rng.usize(0..self.in_flight.len());
+        let (at, message) = self.in_flight.swap_remove(chosen);
         match message {
-            Message::Entry(worker) => self.take_entry(at, worker),
-            Message::Pushed(worker) => {
+            Message::Entry(worker) => self.receive_entry(at, worker),
+            Message::Update(worker) => {
                 self.subscribers[at].merge(self.now, worker);
             }
-            Message::Beats(from, beats) => beats.iter().for_each(|beat| self.take_heard(at, from, beat)),
-            Message::Wanted(by, id) => {
+            Message::Digests(from, digests) => {
+                digests.iter().for_each(|digest| self.receive_digest(at, from, digest))
+            }
+            Message::EntryRequest(requester, id) => {
                 if let Some(worker) = self.tables[at].get(&id).cloned() {
-                    self.on_way.push((by, Message::Entry(worker)));
+                    self.in_flight.push((requester, Message::Entry(worker)));
                 }
             }
         }
     }
 
-    /// What is new here was sent to all tables by who knew it; what is newer here may not have been.
-    fn take_entry(&mut self, at: usize, worker: Worker) {
+    /// A changed entry was already sent to all tables by its origin, so only the subscribers are updated. A
+    /// superseding entry may not have reached every table, so it is published again.
+    fn receive_entry(&mut self, at: usize, worker: Worker) {
         let id = worker.id.clone();
         let merge = self.tables[at].merge(self.now, worker);
         let held = self.tables[at].get(&id).cloned();
         match (merge, held) {
-            (MergeOutcome::Changed, Some(held)) => self.push(at, &held),
+            (MergeOutcome::Changed, Some(held)) => self.update_subscribers(at, &held),
             (MergeOutcome::Superseded, Some(held)) => self.publish(at, &held),
             _ => {}
         }
     }
 
-    fn take_heard(&mut self, at: usize, from: usize, beat: &HeartbeatDigest) {
-        match self.tables[at].apply_digest(self.now, beat) {
+    fn receive_digest(&mut self, at: usize, from: usize, digest: &HeartbeatDigest) {
+        match self.tables[at].apply_digest(self.now, digest) {
             DigestOutcome::UpToDate => {}
             DigestOutcome::SuspicionCleared(worker) => self.publish(at, &worker),
-            DigestOutcome::EntryMissing => self.on_way.push((from, Message::Wanted(at, beat.id.clone()))),
+            DigestOutcome::EntryMissing => {
+                self.in_flight.push((from, Message::EntryRequest(at, digest.id.clone())))
+            }
         }
     }
 
@@ -213,44 +218,44 @@
         self.now += STEP_MS;
         for number in 0..WORKERS {
             match self.rng.u16(0..400) {
-                0 => self.end(number),
-                1..=40 if !self.ended[number] => self.beat(number),
+                0 => self.terminate(number),
+                1..=40 if !self.gone[number] => self.send_heartbeat(number),
                 _ => {}
             }
         }
         for at in 0..TABLES {
             self.tick(at);
             if self.rng.u8(0..3) == 0 {
-                self.summarize(at);
+                self.send_digests(at);
             }
         }
-        for _ in 0..self.rng.usize(0..=self.on_way.len()) {
+        for _ in 0..self.rng.usize(0..=self.in_flight.len()) {
             self.deliver_one();
         }
     }
 
-    fn settle(&mut self) {
-        (0..TABLES).for_each(|at| self.summarize(at));
+    fn deliver_all(&mut self) {
+        (0..TABLES).for_each(|at| self.send_digests(at));
         let mut deliveries = 0;
-        while !self.on_way.is_empty() {
+        while !self.in_flight.is_empty() {
             self.deliver_one();
             deliveries += 1;
-            assert!(deliveries < 100_000, "seed {}: messages never end", self.seed);
+            assert!(deliveries < 100_000, "seed {}: messages do not drain", self.seed);
         }
     }
 }
 
 #[gtest]
-fn tables_that_tell_each_other_changes_and_summaries_agree() {
+fn tables_converge_through_changes_and_heartbeat_digests() {
     for seed in 0..SEEDS {
         let mut network = Network::new(seed);
         for step in 0..STEPS {
             network.step();
             if step % 100 == 99 {
-                network.settle();
-                let first = said(&network.tables[0]);
+                network.deliver_all();
+                let first = material_state(&network.tables[0]);
                 for table in network.tables[1..].iter().chain(&network.subscribers) {
-                    assert_that!(said(table), eq(&first), "seed {seed}, step {step}");
+                    assert_that!(material_state(table), eq(&first), "seed {seed}, step {step}");
                     assert_that!(table.digest(), eq(network.tables[0].digest()), "seed {seed}, step {step}");
                 }
             }
@@ -259,18 +264,17 @@
 }
 
 #[gtest]
-fn settled_tables_hold_the_newest_heartbeat_of_each_worker() {
+fn converged_tables_hold_the_latest_heartbeat_of_each_worker() {
     for seed in 0..SEEDS {
         let mut network = Network::new(seed);
         (0..STEPS).for_each(|_| network.step());
-        network.settle();
-        for number in (0..WORKERS).filter(|number| !network.ended[*number] && network.sequences[*number] > 0)
-        {
-            let newest = beat_of(seed, number, network.sequences[number]);
+        network.deliver_all();
+        for number in (0..WORKERS).filter(|number| !network.gone[*number] && network.sequences[*number] > 0) {
+            let latest = heartbeat_of(seed, number, network.sequences[number]);
             for table in &network.tables {
-                let worker = table.get(&newest.id).unwrap();
-                assert_that!(worker.sequence, eq(newest.sequence), "seed {seed}, worker {number}");
-                assert_that!(worker.material_digest(), eq(newest.material_digest()), "seed {seed}");
+                let worker = table.get(&latest.id).unwrap();
+                assert_that!(worker.sequence, eq(latest.sequence), "seed {seed}, worker {number}");
+                assert_that!(worker.material_digest(), eq(latest.material_digest()), "seed {seed}");
             }
         }
     }
--- a/crates/registration/tests/heartbeat.rs
+++ b/crates/registration/tests/heartbeat.rs
@@ -1,9 +1,9 @@
-//! Reading heartbeats, and the encoding of workers.
+//! Heartbeat parsing and the wire encoding of workers.
 
 use googletest::prelude::*;
 use switchhill_registration::{Heartbeat, HeartbeatError, ResidentModel, Worker, WorkerState};
 
-const BEAT: &str = r#"{"service":"chat","address":"10.0.0.9:8080","zone":"hall-a","revision":"v1","slots":64,
+const HEARTBEAT: &str = r#"{"service":"chat","address":"10.0.0.9:8080","zone":"hall-a","revision":"v1","slots":64,
     "state":"ready","coldRemainingMs":1200,"phase":"both","models":[{"name":"m1","revision":3,"adapters":["a1"]},
     {"name":"m2"}],"sequence":4,"temperature":{"celsius":41}}"#;
 
@@ -12,7 +12,7 @@
 }
 
 #[gtest]
-fn heartbeat_is_read_whole() {
+fn all_heartbeat_fields_are_parsed() {
     let expected = Worker {
         id: "i-1".to_owned(),
         sequence: 4,
@@ -30,20 +30,20 @@
         ],
         suspected: false,
     };
-    expect_that!(parse(BEAT), ok(eq(&expected)));
+    expect_that!(parse(HEARTBEAT), ok(eq(&expected)));
 }
 
 #[gtest]
-fn draining_may_tell_the_time_left() {
-    let drain =
-        |rest: &str| parse(&BEAT.replace(r#""state":"ready""#, &format!(r#""state":"draining"{rest}"#)));
-    let state = |rest| drain(rest).unwrap().state;
+fn draining_heartbeat_may_include_the_remaining_time() {
+    let parse_draining =
+        |rest: &str| parse(&HEARTBEAT.replace(r#""state":"ready""#, &format!(r#""state":"draining"{rest}"#)));
+    let state = |rest| parse_draining(rest).unwrap().state;
     expect_that!(state(""), eq(WorkerState::Draining { remaining_ms: None }));
     expect_that!(state(r#","remainingMs":1999.5"#), eq(WorkerState::Draining { remaining_ms: Some(2_000) }));
 }
 
 #[gtest]
-fn least_heartbeat_has_defaults() {
+fn minimal_heartbeat_gets_defaults() {
     let worker = parse(r#"{"service":"s","address":"a:1","sequence":1,"zone":null}"#).unwrap();
     expect_that!(worker.slots, eq(1));
     expect_that!(worker.state, eq(WorkerState::Ready));
@@ -51,44 +51,44 @@
 }
 
 #[gtest]
-fn faults_name_the_field() {
-    let faults = [
+fn field_errors_name_the_field() {
+    let cases = [
         (r#""sequence":4"#, r#""sequence":"four""#, "sequence"),
         (r#""sequence":4"#, r#""sequence":null"#, "sequence"),
         (r#""state":"ready""#, r#""state":"asleep""#, "state"),
         (r#""slots":64"#, r#""slots":-1"#, "slots"),
         (r#"{"name":"m2"}"#, r#"{"name":2}"#, "models[1].name"),
     ];
-    for (old, new, field) in faults {
-        let error = parse(&BEAT.replace(old, new)).unwrap_err();
+    for (old, new, field) in cases {
+        let error = parse(&HEARTBEAT.replace(old, new)).unwrap_err();
         expect_that!(
             error,
             matches_pattern!(HeartbeatError::Field { field: eq(field), .. }),
             "{new}: {error}"
         );
     }
-    let error = parse(&BEAT.replace(r#""service":"chat","#, "")).unwrap_err();
+    let error = parse(&HEARTBEAT.replace(r#""service":"chat","#, "")).unwrap_err();
     expect_that!(error.to_string(), contains_substring("service"));
 }
 
 #[gtest]
-fn body_cut_short_anywhere_is_unreadable() {
-    for length in 0..BEAT.len() {
-        let error = parse(&BEAT[..length]).unwrap_err();
-        assert_that!(error, matches_pattern!(HeartbeatError::Unreadable(_)), "cut to {length} bytes");
+fn truncated_body_is_invalid_json() {
+    for length in 0..HEARTBEAT.len() {
+        let error = parse(&HEARTBEAT[..length]).unwrap_err();
+        assert_that!(error, matches_pattern!(HeartbeatError::InvalidJson(_)), "truncated to {length} bytes");
     }
-    expect_that!(parse(&format!("{BEAT}}}")), err(matches_pattern!(HeartbeatError::Unreadable(_))));
+    expect_that!(parse(&format!("{HEARTBEAT}}}")), err(matches_pattern!(HeartbeatError::InvalidJson(_))));
 }
 
 #[gtest]
-fn workers_survive_their_encoding() {
-    let worker = parse(BEAT).unwrap();
+fn workers_round_trip_through_the_encoding() {
+    let worker = parse(HEARTBEAT).unwrap();
     let draining = Worker { state: WorkerState::Draining { remaining_ms: Some(0) }, ..worker.clone() };
     let suspected = Worker { suspected: true, ..worker.clone() };
     for worker in [worker.to_gone(), worker, draining, suspected, Worker::gone("i-2")] {
         expect_that!(Worker::from_bytes(&worker.to_bytes()), ok(eq(&worker)));
     }
     expect_that!(Worker::from_bytes(b"\xff\xff"), err(anything()));
-    // Field 8, the state, with a value that no edition has used.
+    // Field 8, the state, with a value that no version has used.
     expect_that!(Worker::from_bytes(&[8 << 3, 9]), err(anything()));
 }
