--- a/crates/control/examples/state_cost.rs
+++ b/crates/control/examples/state_cost.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use switchhill_configuration::{ControlState, Decision, Order, OrderKind, TakenOrder};
-use switchhill_distribution::Published;
+use switchhill_distribution::ConfigurationDelta;
 use switchhill_record_log::{Options, RecordLog};
 use switchhill_register::{Accepted, Ballot, Body, Electorate, Member, Message, Record, ReplicaId, Value};
 
@@ -115,7 +115,7 @@
         least(|| record.encode()),
         least(|| log.append(&written)),
         least(|| ControlState::decode(&data)),
-        least(|| Published::between(old, new)),
+        least(|| ConfigurationDelta::between(old, new)),
     );
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::jobs::Job;
 use crate::node::ControlNode;
 use switchhill_configuration::{ControlState, Order, ResultCode};
-use switchhill_distribution::Published;
+use switchhill_distribution::ConfigurationDelta;
 use switchhill_register::{Accepted, Ballot};
 
 /// Changes that may wait for the register at one node.
@@ -67,7 +67,7 @@
         if document.revision() <= self.state.revision() {
             return;
         }
-        let change = self.state.document().map(|old| Published::between(old, &document));
+        let change = self.state.document().map(|old| ConfigurationDelta::between(old, &document));
         self.state.set_document(document, true);
         self.publish_configuration(now, change.as_ref());
         self.engines_changed(now);
--- a/crates/control/src/load.rs
+++ b/crates/control/src/load.rs
@@ -6,7 +6,7 @@
 use crate::input::SubscriberId;
 use crate::node::ControlNode;
 use std::collections::BTreeMap;
-use switchhill_distribution::{LoadTable, LoadTeller};
+use switchhill_distribution::{LoadDeltaEncoder, LoadTable};
 use switchhill_protocol::{Downstream, DownstreamBody, LoadSummary, Loads, PeerBody};
 
 /// Time in milliseconds between two summaries.
@@ -34,10 +34,10 @@
 pub(crate) struct FleetLoad {
     peers: BTreeMap<u64, PeerLoad>,
     /// What the other core nodes were told, and in how many messages.
-    told_peers: LoadTeller,
+    told_peers: LoadDeltaEncoder,
     peer_sequence: u64,
     /// What home subscribers were told, and in how many messages.
-    fleet: LoadTeller,
+    fleet: LoadDeltaEncoder,
     fleet_sequence: u64,
     peer_gatekeepers: BTreeMap<u64, (u64, u32)>,
     next_summary: u64,
@@ -68,8 +68,8 @@
         let sequence = self.peer_sequence;
         self.peer_sequence += 1;
         let summary = match sequence % WHOLE_EVERY {
-            0 => self.told_peers.tell_whole(own),
-            _ => self.told_peers.tell_changes(own),
+            0 => self.told_peers.full_summary(own),
+            _ => self.told_peers.delta_summary(own),
         };
         LoadSummary { summary: Some(summary), sequence }
     }
@@ -125,7 +125,7 @@
 
     /// Changes to those that have been told all, and all to the others.
     fn tell_homes(&mut self, total: &LoadTable) {
-        let summary = self.load.fleet.tell_changes(total);
+        let summary = self.load.fleet.delta_summary(total);
         self.load.fleet_sequence += 1;
         let sequence = self.load.fleet_sequence;
         let changes = Loads { loads: summary.loads, admission: summary.admission, delta: true, sequence };
@@ -134,7 +134,7 @@
             self.subscribers.homes_for_loads().into_iter().partition(|(_, is_new)| *is_new);
         let ids = |homes: Vec<(SubscriberId, bool)>| homes.into_iter().map(|(id, _)| id).collect();
         if !new.is_empty() {
-            let whole = self.load.fleet.told().whole_fleet(sequence);
+            let whole = self.load.fleet.sent().to_loads(sequence);
             self.send_subscribers(ids(new), message(whole));
         }
         self.send_subscribers(ids(old), message(changes));
--- a/crates/control/src/subscribers.rs
+++ b/crates/control/src/subscribers.rs
@@ -3,7 +3,7 @@
 use crate::input::{Output, SubscriberId};
 use crate::node::ControlNode;
 use std::collections::BTreeMap;
-use switchhill_distribution::{LoadTable, Published, Publisher};
+use switchhill_distribution::{ConfigurationDelta, LoadTable, SubscriberState};
 use switchhill_protocol::{Downstream, DownstreamBody, Fetch, Hello, Status};
 use switchhill_protocol::{Upstream, UpstreamBody};
 
@@ -16,7 +16,7 @@
 /// One subscriber.
 #[derive(Debug)]
 pub(crate) struct Subscriber {
-    publisher: Publisher,
+    publisher: SubscriberState,
     /// Name of its machine.
     pub(crate) node: String,
     heard_at: u64,
@@ -100,7 +100,7 @@
             self.send_configuration(now, id, None);
             return;
         }
-        let publisher = Publisher::new(hello.revision, hello.home);
+        let publisher = SubscriberState::new(hello.revision, hello.home);
         let subscriber = Subscriber {
             publisher,
             node: hello.node,
@@ -124,7 +124,7 @@
             subscriber.served = true;
         }
         self.send_configuration(now, id, None);
-        for message in self.state.whole() {
+        for message in self.state.snapshot() {
             self.send_subscriber(id, message);
         }
     }
@@ -135,19 +135,19 @@
             return;
         }
         if fetch.workers {
-            for message in self.state.whole() {
+            for message in self.state.snapshot() {
                 self.send_subscriber(id, message);
             }
             return;
         }
-        let mut publisher = Publisher::new(fetch.have_revision, true);
+        let mut publisher = SubscriberState::new(fetch.have_revision, true);
         if let Some(message) = publisher.configuration(&self.state, None) {
             self.send_subscriber(id, message);
         }
     }
 
     /// Sends the configuration to a subscriber whose home this node is, if it lacks it and the node may speak for the system.
-    fn send_configuration(&mut self, now: u64, id: SubscriberId, change: Option<&Published>) {
+    fn send_configuration(&mut self, now: u64, id: SubscriberId, change: Option<&ConfigurationDelta>) {
         if !self.serves(now) {
             return;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Sends a new configuration: to home subscribers as a change, to the others its revision.
-    pub(crate) fn publish_configuration(&mut self, now: u64, change: Option<&Published>) {
+    pub(crate) fn publish_configuration(&mut self, now: u64, change: Option<&ConfigurationDelta>) {
         let ids: Vec<SubscriberId> = self.subscribers.connected.keys().copied().collect();
         let status = self.status(now);
         for id in ids {
--- a/crates/control/tests/simulation/edge_machine.rs
+++ b/crates/control/tests/simulation/edge_machine.rs
@@ -57,7 +57,7 @@
         machine.frozen = false;
         machine.inbox.clear();
         let name = format!("edge-{edge}");
-        let settings = LinkSettings { wanted: LINKS, ..LinkSettings::default() };
+        let settings = LinkSettings { target_links: LINKS, ..LinkSettings::default() };
         machine.relay = Relay::new(&name, "zone", seeds, settings);
         machine.feed = FeedState::new(&name, "zone");
         let (life, hello) = (machine.life, machine.feed.hello());
--- a/crates/distribution/src/feed.rs
+++ b/crates/distribution/src/feed.rs
@@ -16,7 +16,7 @@
 
 /// What a message of the agent calls for.
 #[derive(Debug, Default, PartialEq)]
-pub struct Received {
+pub struct ReceiveOutcome {
     /// What is to be sent to the agent.
     pub answers: Vec<Upstream>,
     /// Whether the message told load over the fleet.
@@ -36,7 +36,7 @@
     gatekeepers: u32,
     loads: LoadTable,
     /// Whether the agent's worker table is whole and from a core with a quorum.
-    knows_all_workers: bool,
+    has_full_worker_table: bool,
     differs_since: Option<u64>,
 }
 
@@ -49,7 +49,7 @@
             state: MergedState::new(NEVER_SUSPECT),
             gatekeepers: 0,
             loads: LoadTable::default(),
-            knows_all_workers: false,
+            has_full_worker_table: false,
             differs_since: None,
         }
     }
@@ -82,13 +82,13 @@
     }
 
     /// Takes in a message of the agent.
-    pub fn receive(&mut self, now: u64, message: Downstream) -> Received {
-        let mut received = Received::default();
+    pub fn receive(&mut self, now: u64, message: Downstream) -> ReceiveOutcome {
+        let mut received = ReceiveOutcome::default();
         match message.body {
             Some(DownstreamBody::Status(status)) => received.answers = self.status(now, &status),
             Some(DownstreamBody::Configuration(configuration)) => {
-                let change = self.state.configuration(&configuration);
-                if change == Some(Change::WholeConfigurationNeeded) {
+                let change = self.state.merge_configuration(&configuration);
+                if change == Some(Change::FullConfigurationRequired) {
                     received.answers.push(fetch(0, false));
                 }
             }
@@ -97,7 +97,7 @@
                 let entries: Vec<Worker> = entries.collect();
                 received.workers.extend(entries.iter().map(|worker| worker.id.clone()));
                 self.state.merge_entries(now, entries.into_iter());
-                if workers.whole && self.knows_all_workers {
+                if workers.whole && self.has_full_worker_table {
                     if let Some(Change::Workers(absent)) = self.state.suspect_absent(now, &workers) {
                         received.workers.extend(absent.into_iter().map(|worker| worker.id));
                     }
@@ -119,7 +119,7 @@
 
     fn status(&mut self, now: u64, status: &Status) -> Vec<Upstream> {
         self.gatekeepers = status.gatekeepers;
-        self.knows_all_workers = status.quorum && status.warm;
+        self.has_full_worker_table = status.quorum && status.warm;
         if status.quorum {
             self.state.confirm(status.revision);
         }
@@ -127,7 +127,7 @@
         if status.revision > self.state.revision() {
             answers.push(fetch(self.state.revision(), false));
         }
-        let differs = self.knows_all_workers && status.workers_digest != self.state.workers().digest();
+        let differs = self.has_full_worker_table && status.workers_digest != self.state.workers().digest();
         if persists(&mut self.differs_since, differs, now, WORKERS_DIFFER_FOR) {
             answers.push(fetch(self.state.revision(), true));
         }
--- a/crates/distribution/src/links.rs
+++ b/crates/distribution/src/links.rs
@@ -11,38 +11,38 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LinkSettings {
     /// Links that are kept, publishers without quorum contact not counted.
-    pub wanted: usize,
+    pub target_links: usize,
     /// Zones that may be lost at once: links go to more zones than that, as far as there are publishers in them.
-    pub zones_lost: usize,
+    pub tolerated_zone_failures: usize,
     /// Silence after which a link is given up.
-    pub silent_after: u64,
+    pub idle_timeout: u64,
     /// Time for a connection to come up.
-    pub connect_within: u64,
+    pub connect_timeout: u64,
     /// Pause before the next attempt at the same publisher.
-    pub retry_after: u64,
+    pub retry_delay: u64,
     /// The same while no publisher with quorum contact is known.
-    pub seeking_after: u64,
+    pub retry_delay_without_quorum: u64,
     /// How long the home may take to deliver what another publisher has.
-    pub fetch_after: u64,
+    pub fetch_delay: u64,
     /// How long worker tables may differ before the whole one is asked for.
-    pub workers_differ_for: u64,
+    pub workers_divergence_timeout: u64,
     /// Time between two heartbeats.
-    pub hello_every: u64,
+    pub hello_interval: u64,
 }
 
 impl Default for LinkSettings {
     /// A publisher says its status every 250 ms: three may be lost before the link is given up.
     fn default() -> Self {
         LinkSettings {
-            wanted: 3,
-            zones_lost: 0,
-            silent_after: 900,
-            connect_within: 500,
-            retry_after: 250,
-            seeking_after: 80,
-            fetch_after: 150,
-            workers_differ_for: 700,
-            hello_every: 400,
+            target_links: 3,
+            tolerated_zone_failures: 0,
+            idle_timeout: 900,
+            connect_timeout: 500,
+            retry_delay: 250,
+            retry_delay_without_quorum: 80,
+            fetch_delay: 150,
+            workers_divergence_timeout: 700,
+            hello_interval: 400,
         }
     }
 }
@@ -113,12 +113,12 @@
     }
 
     /// Whether some publisher with quorum contact was heard of late.
-    pub fn in_contact(&self) -> bool {
+    pub fn has_quorum_contact(&self) -> bool {
         self.links.values().any(|link| link.up && link.quorum)
     }
 
     /// Whether a publisher has quorum contact and a whole worker table.
-    pub fn knows_all_workers(&self, id: LinkId) -> bool {
+    pub fn has_full_worker_table(&self, id: LinkId) -> bool {
         self.links.get(&id).is_some_and(|link| link.up && link.quorum && link.warm)
     }
 
@@ -127,15 +127,18 @@
         let Some(link) = self.links.get_mut(&id) else { return Vec::new() };
         link.up = true;
         link.heard_at = now;
-        link.next_hello = now + self.settings.hello_every;
+        link.next_hello = now + self.settings.hello_interval;
         vec![LinkAction::Hello(id, false)]
     }
 
     /// A connection failed or ended.
-    pub fn lost(&mut self, now: u64, id: LinkId) {
+    pub fn disconnected(&mut self, now: u64, id: LinkId) {
         if let Some(link) = self.links.remove(&id) {
-            let pause =
-                if self.in_contact() { self.settings.retry_after } else { self.settings.seeking_after };
+            let pause = if self.has_quorum_contact() {
+                self.settings.retry_delay
+            } else {
+                self.settings.retry_delay_without_quorum
+            };
             self.known.insert(link.address, now + pause);
         }
         if self.home == Some(id) {
@@ -165,17 +168,17 @@
         let ahead = status.revision > revision;
         let differs = status.quorum && status.warm && status.workers_digest != digest;
         let mut actions = Vec::new();
-        if persists(&mut link.ahead_since, ahead, now, settings.fetch_after) {
+        if persists(&mut link.ahead_since, ahead, now, settings.fetch_delay) {
             actions.push(LinkAction::Fetch(id, false));
         }
-        if persists(&mut link.differs_since, differs, now, settings.workers_differ_for) {
+        if persists(&mut link.differs_since, differs, now, settings.workers_divergence_timeout) {
             actions.push(LinkAction::Fetch(id, true));
         }
         actions
     }
 
     /// Anything else that was heard on a link.
-    pub fn heard(&mut self, now: u64, id: LinkId) {
+    pub fn message_received(&mut self, now: u64, id: LinkId) {
         if let Some(link) = self.links.get_mut(&id) {
             link.heard_at = now;
         }
@@ -193,20 +196,20 @@
     fn close_silent(&mut self, now: u64) -> Vec<LinkAction> {
         let settings = self.settings;
         let over = |link: &Link| match link.up {
-            true => now >= link.heard_at + settings.silent_after,
-            false => now >= link.since + settings.connect_within,
+            true => now >= link.heard_at + settings.idle_timeout,
+            false => now >= link.since + settings.connect_timeout,
         };
         let silent: Vec<LinkId> =
             self.links.iter().filter(|(_, link)| over(link)).map(|(id, _)| *id).collect();
         for id in &silent {
-            self.lost(now, *id);
+            self.disconnected(now, *id);
         }
         silent.into_iter().map(LinkAction::Close).collect()
     }
 
     fn open_missing(&mut self, now: u64) -> Vec<LinkAction> {
         let mut actions = Vec::new();
-        while self.useful().count() < self.settings.wanted {
+        while self.useful().count() < self.settings.target_links {
             let Some(address) = self.next_publisher(now) else { break };
             actions.push(self.open(now, address));
         }
@@ -221,7 +224,9 @@
 
     /// A link beyond those wanted, if all that there are could go with the zones to be borne.
     fn open_in_another_zone(&mut self, now: u64) -> Option<LinkAction> {
-        if self.settings.zones_lost == 0 || self.zones_linked().len() > self.settings.zones_lost {
+        if self.settings.tolerated_zone_failures == 0
+            || self.zones_linked().len() > self.settings.tolerated_zone_failures
+        {
             return None;
         }
         let address = self.next_publisher(now)?;
@@ -246,7 +251,7 @@
 
     /// Useful links into a publisher's zone; none where zones don't count.
     fn links_beside(&self, address: &String) -> usize {
-        if self.settings.zones_lost == 0 {
+        if self.settings.tolerated_zone_failures == 0 {
             return 0;
         }
         let zone = self.zones.get(address);
@@ -256,7 +261,7 @@
     fn open(&mut self, now: u64, address: String) -> LinkAction {
         let id = LinkId(self.next_link);
         self.next_link += 1;
-        self.known.insert(address.clone(), now + self.settings.seeking_after);
+        self.known.insert(address.clone(), now + self.settings.retry_delay_without_quorum);
         let link = Link {
             address: address.clone(),
             since: now,
@@ -288,7 +293,7 @@
     }
 
     fn say_hello(&mut self, now: u64) -> Vec<LinkAction> {
-        let every = self.settings.hello_every;
+        let every = self.settings.hello_interval;
         let home = self.home;
         let due = self.links.iter_mut().filter(|(_, link)| link.up && now >= link.next_hello);
         due.map(|(id, link)| {
--- a/crates/distribution/src/loads.rs
+++ b/crates/distribution/src/loads.rs
@@ -7,13 +7,13 @@
 use switchhill_protocol::{Loads, ModelDemand, RouteAdmission, Summary, WorkerLoad};
 
 /// Workers in one change.
-pub const MOST_WORKERS: usize = 64;
+pub const MAX_WORKERS_PER_DELTA: usize = 64;
 
 /// Models and adapters in one change.
-pub const MOST_DEMANDS: usize = 48;
+pub const MAX_DEMANDS_PER_DELTA: usize = 48;
 
 /// Routes in one change.
-pub const MOST_ROUTES: usize = 16;
+pub const MAX_ROUTES_PER_DELTA: usize = 16;
 
 /// Part by which a rate must differ from what was told.
 const MATERIAL_PART: f64 = 0.1;
@@ -83,7 +83,7 @@
     }
 
     /// All entries as a summary.
-    pub fn whole(&self) -> Summary {
+    pub fn to_summary(&self) -> Summary {
         Summary {
             loads: self.worker_loads(),
             demand: self.demand.values().cloned().collect(),
@@ -93,7 +93,7 @@
     }
 
     /// All entries for a subscriber, which is told no demand.
-    pub fn whole_fleet(&self, sequence: u64) -> Loads {
+    pub fn to_loads(&self, sequence: u64) -> Loads {
         let admission = self.admission.values().cloned().collect();
         Loads { loads: self.worker_loads(), admission, delta: false, sequence }
     }
@@ -145,7 +145,7 @@
 
 /// One side's account of what it has told.
 #[derive(Debug, Clone, Default)]
-pub struct LoadTeller {
+pub struct LoadDeltaEncoder {
     told: LoadTable,
     waiting_loads: Waiting<String>,
     waiting_demand: Waiting<DemandKey>,
@@ -155,34 +155,39 @@
 /// Rounds for which entries that differ from what was told have waited.
 type Waiting<K> = BTreeMap<K, u32>;
 
-impl LoadTeller {
+impl LoadDeltaEncoder {
     /// What was told, which is what the other side holds if it has heard all.
-    pub fn told(&self) -> &LoadTable {
+    pub fn sent(&self) -> &LoadTable {
         &self.told
     }
 
     /// Forgets what was told and tells all.
-    pub fn tell_whole(&mut self, present: &LoadTable) -> Summary {
-        *self = LoadTeller { told: present.clone(), ..LoadTeller::default() };
-        self.told.whole()
+    pub fn full_summary(&mut self, present: &LoadTable) -> Summary {
+        *self = LoadDeltaEncoder { told: present.clone(), ..LoadDeltaEncoder::default() };
+        self.told.to_summary()
     }
 
     /// The changes that are told next.
-    pub fn tell_changes(&mut self, present: &LoadTable) -> Summary {
+    pub fn delta_summary(&mut self, present: &LoadTable) -> Summary {
         let told = &self.told;
-        let loads =
-            most_changed(&told.loads, &present.loads, MOST_WORKERS, &mut self.waiting_loads, load_change);
+        let loads = most_changed(
+            &told.loads,
+            &present.loads,
+            MAX_WORKERS_PER_DELTA,
+            &mut self.waiting_loads,
+            load_change,
+        );
         let demand = most_changed(
             &told.demand,
             &present.demand,
-            MOST_DEMANDS,
+            MAX_DEMANDS_PER_DELTA,
             &mut self.waiting_demand,
             demand_change,
         );
         let admission = most_changed(
             &told.admission,
             &present.admission,
-            MOST_ROUTES,
+            MAX_ROUTES_PER_DELTA,
             &mut self.waiting_admission,
             admission_change,
         );
--- a/crates/distribution/src/merged.rs
+++ b/crates/distribution/src/merged.rs
@@ -18,7 +18,7 @@
     /// What a worker holds changed.
     Residency(Residency),
     /// A change of the configuration did not fit what is held: the whole one is needed.
-    WholeConfigurationNeeded,
+    FullConfigurationRequired,
 }
 
 /// Configuration, worker table and residency: the highest revision, sequence and version win.
@@ -94,7 +94,7 @@
     }
 
     /// Takes in a configuration.
-    pub fn configuration(&mut self, message: &Configuration) -> Option<Change> {
+    pub fn merge_configuration(&mut self, message: &Configuration) -> Option<Change> {
         if message.revision <= self.revision() {
             return None;
         }
@@ -102,7 +102,7 @@
             Ok(document) => document,
             Err(fault) => {
                 log::warn!("configuration {}: {fault}", message.revision);
-                return Some(Change::WholeConfigurationNeeded);
+                return Some(Change::FullConfigurationRequired);
             }
         };
         self.set_document(document, message.confirmed);
--- a/crates/distribution/src/publisher.rs
+++ b/crates/distribution/src/publisher.rs
@@ -9,7 +9,7 @@
 
 /// A change between two configurations, made once for all subscribers.
 #[derive(Debug, Clone)]
-pub struct Published {
+pub struct ConfigurationDelta {
     /// Revision before.
     pub from_revision: u64,
     /// Revision after.
@@ -18,10 +18,10 @@
     pub delta: Bytes,
 }
 
-impl Published {
+impl ConfigurationDelta {
     /// The change between two configurations.
-    pub fn between(old: &Document, new: &Document) -> Published {
-        Published {
+    pub fn between(old: &Document, new: &Document) -> ConfigurationDelta {
+        ConfigurationDelta {
             from_revision: old.revision(),
             revision: new.revision(),
             delta: Bytes::from(Delta::between(old, new).encode()),
@@ -31,21 +31,25 @@
 
 /// State of one subscriber at its publisher.
 #[derive(Debug, Clone)]
-pub struct Publisher {
+pub struct SubscriberState {
     /// Revision that the subscriber holds or has been sent.
     pub sent_revision: u64,
     /// Whether this publisher is the subscriber's home.
     pub home: bool,
 }
 
-impl Publisher {
+impl SubscriberState {
     /// A subscriber that holds a revision, 0 for none.
-    pub fn new(revision: u64, home: bool) -> Publisher {
-        Publisher { sent_revision: revision, home }
+    pub fn new(revision: u64, home: bool) -> SubscriberState {
+        SubscriberState { sent_revision: revision, home }
     }
 
     /// The message that brings the subscriber to the newest configuration, if it needs one.
-    pub fn configuration(&mut self, state: &MergedState, change: Option<&Published>) -> Option<Downstream> {
+    pub fn configuration(
+        &mut self,
+        state: &MergedState,
+        change: Option<&ConfigurationDelta>,
+    ) -> Option<Downstream> {
         let revision = state.revision();
         if revision <= self.sent_revision {
             return None;
@@ -75,7 +79,7 @@
 
 impl MergedState {
     /// All entries of the worker table and what workers hold, as messages.
-    pub fn whole(&self) -> Vec<Downstream> {
+    pub fn snapshot(&self) -> Vec<Downstream> {
         let entries = self.workers().iter().map(Worker::to_bytes).collect();
         let workers = Downstream { body: Some(DownstreamBody::Workers(Workers { entries, whole: true })) };
         let residency = self.residency().values().cloned().map(residency_message);
@@ -100,7 +104,7 @@
         match self {
             crate::Change::Workers(workers) => Some(workers_message(workers)),
             crate::Change::Residency(residency) => Some(residency_message(residency.clone())),
-            crate::Change::Configuration | crate::Change::WholeConfigurationNeeded => None,
+            crate::Change::Configuration | crate::Change::FullConfigurationRequired => None,
         }
     }
 }
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -3,7 +3,7 @@
 use crate::links::{LinkAction, LinkId, LinkPlanner, LinkSettings};
 use crate::loads::LoadTable;
 use crate::merged::{Change, MergedState};
-use crate::publisher::{Published, Publisher};
+use crate::publisher::{ConfigurationDelta, SubscriberState};
 use std::collections::BTreeMap;
 use switchhill_protocol::{
     Configuration, Downstream, DownstreamBody, Fetch, Hello, Loads, Status, Summary, Upstream, UpstreamBody,
@@ -60,7 +60,7 @@
     zone: String,
     links: LinkPlanner,
     state: MergedState,
-    feeds: BTreeMap<FeedId, Publisher>,
+    feeds: BTreeMap<FeedId, SubscriberState>,
     gatekeepers: u32,
     warm: bool,
     core: Vec<String>,
@@ -114,7 +114,7 @@
                 let actions = self.links.connected(now, id);
                 self.act(actions);
             }
-            RelayInput::LinkLost(id) => self.links.lost(now, id),
+            RelayInput::LinkLost(id) => self.links.disconnected(now, id),
             RelayInput::Link(id, message) => self.link_message(now, id, message),
             RelayInput::Feed(id, message) => self.feed_message(now, id, message),
             RelayInput::FeedGone(id) => {
@@ -163,14 +163,14 @@
         if !self.links.up().any(|up| up == id) {
             return;
         }
-        self.links.heard(now, id);
+        self.links.message_received(now, id);
         match message.body {
             Some(DownstreamBody::Status(status)) => self.link_status(now, id, status),
             Some(DownstreamBody::Configuration(configuration)) => self.configuration(id, &configuration),
             Some(DownstreamBody::Workers(workers)) => {
                 let change = self.state.merge_workers(now, &workers);
                 self.publish_change(change);
-                if workers.whole && self.links.knows_all_workers(id) {
+                if workers.whole && self.links.has_full_worker_table(id) {
                     let change = self.state.suspect_absent(now, &workers);
                     self.publish_change(change);
                 }
@@ -207,13 +207,13 @@
             return;
         }
         let old = self.state.document().cloned();
-        match self.state.configuration(message) {
+        match self.state.merge_configuration(message) {
             Some(Change::Configuration) => {
                 let new = self.state.document();
-                let published = old.zip(new).map(|(old, new)| Published::between(&old, new));
+                let published = old.zip(new).map(|(old, new)| ConfigurationDelta::between(&old, new));
                 self.publish_configuration(published.as_ref());
             }
-            Some(Change::WholeConfigurationNeeded) => {
+            Some(Change::FullConfigurationRequired) => {
                 let fetch = Fetch { have_revision: 0, workers: false };
                 self.out.push(RelayOutput::ToLink(id, Upstream { body: Some(UpstreamBody::Fetch(fetch)) }));
             }
@@ -243,7 +243,7 @@
         self.out.extend(hellos);
     }
 
-    fn publish_configuration(&mut self, change: Option<&Published>) {
+    fn publish_configuration(&mut self, change: Option<&ConfigurationDelta>) {
         let confirmed = self.confirms();
         for (id, publisher) in &mut self.feeds {
             if let Some(message) = publisher.configuration(&self.state, change) {
@@ -284,7 +284,7 @@
 
     /// Whether a core node with a quorum stands behind the configuration that is held.
     fn confirms(&self) -> bool {
-        self.links.in_contact() && self.state.confirmed()
+        self.links.has_quorum_contact() && self.state.confirmed()
     }
 
     fn feed_message(&mut self, _now: u64, id: FeedId, message: Upstream) {
@@ -302,13 +302,13 @@
         if self.feeds.contains_key(&id) {
             return;
         }
-        let mut publisher = Publisher::new(hello.revision, true);
+        let mut publisher = SubscriberState::new(hello.revision, true);
         self.out.push(RelayOutput::ToFeed(id, self.status()));
         self.feed_configuration(id, &mut publisher);
-        let whole = self.state.whole().into_iter().map(|message| RelayOutput::ToFeed(id, message));
+        let whole = self.state.snapshot().into_iter().map(|message| RelayOutput::ToFeed(id, message));
         self.out.extend(whole);
         if let Some(sequence) = self.fleet_sequence {
-            let loads = Downstream { body: Some(DownstreamBody::Loads(self.fleet.whole_fleet(sequence))) };
+            let loads = Downstream { body: Some(DownstreamBody::Loads(self.fleet.to_loads(sequence))) };
             self.out.push(RelayOutput::ToFeed(id, loads));
         }
         self.feeds.insert(id, publisher);
@@ -316,15 +316,15 @@
 
     fn feed_fetch(&mut self, id: FeedId, fetch: &Fetch) {
         if fetch.workers {
-            let whole = self.state.whole().into_iter().map(|message| RelayOutput::ToFeed(id, message));
+            let whole = self.state.snapshot().into_iter().map(|message| RelayOutput::ToFeed(id, message));
             self.out.extend(whole);
             return;
         }
-        let mut publisher = Publisher::new(fetch.have_revision, true);
+        let mut publisher = SubscriberState::new(fetch.have_revision, true);
         self.feed_configuration(id, &mut publisher);
     }
 
-    fn feed_configuration(&mut self, id: FeedId, publisher: &mut Publisher) {
+    fn feed_configuration(&mut self, id: FeedId, publisher: &mut SubscriberState) {
         let message = publisher.configuration(&self.state, None);
         let message = message.map(|message| confirmed_if(message, self.confirms()));
         self.out.extend(message.map(|message| RelayOutput::ToFeed(id, message)));
@@ -352,7 +352,7 @@
         let knows_all = self.told_home.replace(home) == Some(home);
         let told = match knows_all && self.own.len() == 1 {
             true => summary,
-            false => self.own_load().whole(),
+            false => self.own_load().to_summary(),
         };
         self.out.push(RelayOutput::ToLink(home, Upstream { body: Some(UpstreamBody::Summary(told)) }));
     }
--- a/crates/distribution/tests/links.rs
+++ b/crates/distribution/tests/links.rs
@@ -9,7 +9,7 @@
 
 fn planner(addresses: usize) -> LinkPlanner {
     let seeds = (1..=addresses).map(|n| format!("10.0.0.{n}:1"));
-    LinkPlanner::new("edge-1", seeds, LinkSettings { wanted: 2, ..LinkSettings::default() })
+    LinkPlanner::new("edge-1", seeds, LinkSettings { target_links: 2, ..LinkSettings::default() })
 }
 
 fn connected(actions: &[LinkAction]) -> Vec<LinkId> {
@@ -106,16 +106,16 @@
 fn a_lost_publisher_is_tried_again_later_while_another_has_a_quorum() {
     let mut planner = planner(2);
     let links = up(&mut planner, 0);
-    planner.lost(10, links[0]);
+    planner.disconnected(10, links[0]);
     expect_that!(connected(&planner.tick(259)), is_empty());
     expect_that!(connected(&planner.tick(260)), len(eq(1)));
 }
 
 /// A planner that knows four publishers, three of them in one zone, after its first links are up.
-fn planner_of_two_zones(zones_lost: usize) -> (LinkPlanner, Vec<String>) {
+fn planner_of_two_zones(tolerated_zone_failures: usize) -> (LinkPlanner, Vec<String>) {
     let core: Vec<String> = (1..=4).map(|n| format!("10.0.0.{n}:1")).collect();
     let core_zones = ["north", "north", "north", "south"].map(String::from).to_vec();
-    let settings = LinkSettings { wanted: 2, zones_lost, ..LinkSettings::default() };
+    let settings = LinkSettings { target_links: 2, tolerated_zone_failures, ..LinkSettings::default() };
     // Only publishers of one zone are known at first.
     let mut planner = LinkPlanner::new("edge-1", core[..3].to_vec(), settings);
     let links = connected(&planner.tick(0));
--- a/crates/distribution/tests/loads.rs
+++ b/crates/distribution/tests/loads.rs
@@ -2,7 +2,9 @@
 
 use googletest::prelude::*;
 use prost::Message;
-use switchhill_distribution::{LoadTable, LoadTeller, MOST_DEMANDS, MOST_ROUTES, MOST_WORKERS};
+use switchhill_distribution::{
+    LoadDeltaEncoder, LoadTable, MAX_DEMANDS_PER_DELTA, MAX_ROUTES_PER_DELTA, MAX_WORKERS_PER_DELTA,
+};
 use switchhill_protocol::{ModelDemand, RouteAdmission, Summary, WorkerLoad};
 
 /// Bytes of the largest change: ids of 40 bytes, names of 20.
@@ -58,12 +60,12 @@
 fn a_hearer_of_all_changes_holds_what_was_told() {
     for seed in 0..30 {
         let mut drift = Drift::new(300, seed);
-        let (mut teller, mut hearer) = (LoadTeller::default(), LoadTable::default());
-        hearer.apply(&teller.tell_whole(&drift.present));
+        let (mut teller, mut hearer) = (LoadDeltaEncoder::default(), LoadTable::default());
+        hearer.apply(&teller.full_summary(&drift.present));
         for step in 0..40 {
             drift.step(20);
-            hearer.apply(&teller.tell_changes(&drift.present));
-            expect_that!(hearer, eq(teller.told()), "seed {seed}, step {step}");
+            hearer.apply(&teller.delta_summary(&drift.present));
+            expect_that!(hearer, eq(teller.sent()), "seed {seed}, step {step}");
         }
     }
 }
@@ -71,11 +73,11 @@
 #[gtest]
 fn loads_within_the_bound_are_exact() {
     for seed in 0..50 {
-        let mut drift = Drift::new(MOST_WORKERS, seed);
-        let (mut teller, mut hearer) = (LoadTeller::default(), LoadTable::default());
+        let mut drift = Drift::new(MAX_WORKERS_PER_DELTA, seed);
+        let (mut teller, mut hearer) = (LoadDeltaEncoder::default(), LoadTable::default());
         for step in 0..40 {
             drift.step(30);
-            hearer.apply(&teller.tell_changes(&drift.present));
+            hearer.apply(&teller.delta_summary(&drift.present));
             expect_that!(hearer.loads, eq(&drift.present.loads), "seed {seed}, step {step}");
         }
     }
@@ -86,9 +88,9 @@
     for seed in 0..10 {
         let mut drift = Drift::new(940, seed);
         drift.step(4_000);
-        let (mut teller, mut hearer) = (LoadTeller::default(), LoadTable::default());
-        for _ in 0..940_usize.div_ceil(MOST_WORKERS) {
-            hearer.apply(&teller.tell_changes(&drift.present));
+        let (mut teller, mut hearer) = (LoadDeltaEncoder::default(), LoadTable::default());
+        for _ in 0..940_usize.div_ceil(MAX_WORKERS_PER_DELTA) {
+            hearer.apply(&teller.delta_summary(&drift.present));
         }
         expect_that!(hearer.loads, eq(&drift.present.loads), "seed {seed}");
         expect_that!(hearer.admission.len(), eq(drift.present.admission.len()), "seed {seed}");
@@ -98,16 +100,16 @@
 #[gtest]
 fn a_small_difference_is_not_passed_over_for_ever() {
     // All but one worker change by much in each round; the last stays one request off.
-    let mut teller = LoadTeller::default();
+    let mut teller = LoadDeltaEncoder::default();
     let mut present = LoadTable::default();
     let quiet = load(900, 41);
     present.apply(&Summary { loads: vec![load(900, 40)], ..Summary::default() });
-    teller.tell_whole(&present);
+    teller.full_summary(&present);
     for round in 0..400 {
         let busy = (0..800).map(|number| load(number, if round % 2 == 0 { 2 } else { 18 }));
         let loads = busy.chain([quiet.clone()]).collect();
         present.apply(&Summary { loads, delta: true, ..Summary::default() });
-        if teller.tell_changes(&present).loads.contains(&quiet) {
+        if teller.delta_summary(&present).loads.contains(&quiet) {
             return;
         }
     }
@@ -118,13 +120,13 @@
 fn a_change_is_bounded_whatever_the_fleet() {
     for workers in [100, 1_000, 3_000] {
         let mut drift = Drift::new(workers, 1);
-        let mut teller = LoadTeller::default();
+        let mut teller = LoadDeltaEncoder::default();
         for step in 0..20 {
             drift.step(3 * workers);
-            let change = teller.tell_changes(&drift.present);
-            expect_that!(change.loads.len(), le(MOST_WORKERS), "{workers} workers, step {step}");
-            expect_that!(change.demand.len(), le(MOST_DEMANDS), "{workers} workers, step {step}");
-            expect_that!(change.admission.len(), le(MOST_ROUTES), "{workers} workers, step {step}");
+            let change = teller.delta_summary(&drift.present);
+            expect_that!(change.loads.len(), le(MAX_WORKERS_PER_DELTA), "{workers} workers, step {step}");
+            expect_that!(change.demand.len(), le(MAX_DEMANDS_PER_DELTA), "{workers} workers, step {step}");
+            expect_that!(change.admission.len(), le(MAX_ROUTES_PER_DELTA), "{workers} workers, step {step}");
             expect_that!(change.encoded_len(), le(LARGEST_CHANGE), "{workers} workers, step {step}");
         }
     }
@@ -133,12 +135,12 @@
 #[gtest]
 fn a_whole_list_mends_whatever_was_missed() {
     let mut drift = Drift::new(200, 3);
-    let (mut teller, mut hearer) = (LoadTeller::default(), LoadTable::default());
+    let (mut teller, mut hearer) = (LoadDeltaEncoder::default(), LoadTable::default());
     for step in 0..60 {
         drift.step(40);
         let told = match step % 8 {
-            0 => teller.tell_whole(&drift.present),
-            _ => teller.tell_changes(&drift.present),
+            0 => teller.full_summary(&drift.present),
+            _ => teller.delta_summary(&drift.present),
         };
         // Half of the changes are lost.
         if step % 2 == 0 {
--- a/crates/distribution/tests/relay.rs
+++ b/crates/distribution/tests/relay.rs
@@ -41,7 +41,7 @@
 impl Agent {
     fn new() -> Agent {
         let seeds = vec!["core-0".to_owned(), "core-1".to_owned()];
-        let settings = LinkSettings { wanted: 2, ..LinkSettings::default() };
+        let settings = LinkSettings { target_links: 2, ..LinkSettings::default() };
         let mut agent = Agent {
             now: 10_000,
             relay: Relay::new("edge", "zone", seeds, settings),
--- a/crates/distribution/tests/relay_loads.rs
+++ b/crates/distribution/tests/relay_loads.rs
@@ -21,7 +21,7 @@
 impl Agent {
     fn new() -> Agent {
         let seeds = vec!["10.0.0.1:7000".to_owned(), "10.0.0.2:7000".to_owned()];
-        let settings = LinkSettings { wanted: 2, ..LinkSettings::default() };
+        let settings = LinkSettings { target_links: 2, ..LinkSettings::default() };
         let mut agent = Agent {
             relay: Relay::new("edge-1", "here", seeds, settings),
             now: 0,
--- a/lab/src/emulator/world/edge_machine.rs
+++ b/lab/src/emulator/world/edge_machine.rs
@@ -62,7 +62,7 @@
         }
         let seeds = self.seeds();
         let wanted = self.plan.sizes.machines_lost + SPARE_LINKS;
-        let settings = LinkSettings { wanted, ..LinkSettings::default() };
+        let settings = LinkSettings { target_links: wanted, ..LinkSettings::default() };
         let relay = Relay::new(&Host::Edge(edge).to_string(), "zone-a", seeds, settings);
         let machine = &mut self.edges[edge];
         machine.agent = Some(Agent { relay, links: BTreeMap::new() });
--- a/lab/src/hollow/data_plane.rs
+++ b/lab/src/hollow/data_plane.rs
@@ -5,7 +5,7 @@
 use super::Sizes;
 use std::collections::{BTreeMap, HashMap};
 use switchhill::data_plane_feed::WorkerViews;
-use switchhill_distribution::{FeedState, LoadTable, LoadTeller};
+use switchhill_distribution::{FeedState, LoadDeltaEncoder, LoadTable};
 use switchhill_protocol::{Downstream, ModelDemand, RouteAdmission, Summary, Upstream, WorkerLoad};
 use switchhill_registration::{Worker, WorkerState};
 use switchhill_routing::{Availability, ResidentModel, Router, RouterSettings, WorkerView};
@@ -34,7 +34,7 @@
     random: fastrand::Rng,
     /// Load and demand at the last summary, and what the agent was told of them.
     present: LoadTable,
-    told: Option<LoadTeller>,
+    told: Option<LoadDeltaEncoder>,
 }
 
 impl Traffic {
@@ -80,8 +80,8 @@
         };
         self.present.apply(&whole);
         match &mut self.told {
-            Some(told) => told.tell_changes(&self.present),
-            None => self.told.insert(LoadTeller::default()).tell_whole(&self.present),
+            Some(told) => told.delta_summary(&self.present),
+            None => self.told.insert(LoadDeltaEncoder::default()).full_summary(&self.present),
         }
     }
 }
--- a/lab/src/hollow/gatekeepers.rs
+++ b/lab/src/hollow/gatekeepers.rs
@@ -30,7 +30,7 @@
 /// A gatekeeper that knows all core nodes.
 pub(super) fn new_edge(edge: usize, sizes: Sizes, seed: u64) -> Edge {
     let seeds = (0..sizes.cores).map(core_address).collect();
-    let settings = LinkSettings { wanted: LINKS.min(sizes.cores), ..LinkSettings::default() };
+    let settings = LinkSettings { target_links: LINKS.min(sizes.cores), ..LinkSettings::default() };
     let (name, zone) = (format!("edge-{edge}"), format!("zone-{}", edge % 7));
     Edge {
         relay: Relay::new(&name, &zone, seeds, settings),
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -25,8 +25,8 @@
     let mut links = links::Links::new(inputs.clone());
     let seeds = crate::system::internal_addresses(&settings);
     let link_settings = LinkSettings {
-        wanted: settings.fault_tolerance.machines + SPARE_LINKS,
-        zones_lost: settings.fault_tolerance.domains(),
+        target_links: settings.fault_tolerance.machines + SPARE_LINKS,
+        tolerated_zone_failures: settings.fault_tolerance.domains(),
         ..LinkSettings::default()
     };
     let mut relay = Relay::new(&settings.node_name, &settings.zone, seeds, link_settings);
--- a/src/data_plane_feed.rs
+++ b/src/data_plane_feed.rs
@@ -17,7 +17,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::time::Duration;
-use switchhill_distribution::{FeedState, LoadTable, LoadTeller};
+use switchhill_distribution::{FeedState, LoadDeltaEncoder, LoadTable};
 use switchhill_protocol::{
     Downstream, Expectation, Missing, ModelDemand, RouteAdmission, Summary, Unreachable, Upstream,
     UpstreamBody, WorkerLoad,
@@ -68,7 +68,7 @@
     /// Load and demand of this data plane at its last summary.
     own: LoadTable,
     /// What the agent was told of them on this connection, if anything.
-    told: Option<LoadTeller>,
+    told: Option<LoadDeltaEncoder>,
     views: watch::Sender<Arc<View>>,
 }
 
@@ -254,8 +254,8 @@
         };
         self.own.apply(&whole);
         match &mut self.told {
-            Some(told) => told.tell_changes(&self.own),
-            None => self.told.insert(LoadTeller::default()).tell_whole(&self.own),
+            Some(told) => told.delta_summary(&self.own),
+            None => self.told.insert(LoadDeltaEncoder::default()).full_summary(&self.own),
         }
     }
 }
