--- a/crates/distribution/src/absent.rs
+++ b/crates/distribution/src/absent.rs
@@ -1,23 +1,24 @@
-//! Workers that the publishers no longer know.
+//! Detection of workers that are no longer known to the publishers.
 //!
-//! An entry that ended while a subscriber was cut off is told to it later. Not so if all core nodes have lost their
-//! memory meanwhile: none knows the worker then, and the subscriber would hold it for ready for ever.
+//! A subscriber that was disconnected while an instance terminated receives the gone entry later. If all core nodes
+//! lost their in-memory state in the meantime, no such entry exists, and the subscriber would treat the worker as
+//! ready indefinitely.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time in milliseconds for which a worker must be missing from whole lists. A worker that has just started may be
-/// missing from one list; it is in the next.
-const ABSENT_FOR: u64 = 600;
+/// Milliseconds for which a worker must be missing from full lists before it is reported. A worker that has just
+/// started may be missing from one list, but is in the next.
+const ABSENCE_TIMEOUT: u64 = 600;
 
-/// Workers that were missing from whole lists, with the time of the first one.
+/// Workers missing from the latest full list, each with the time at which it was first missing.
 #[derive(Debug, Default)]
 pub(crate) struct AbsentWorkers {
     since: BTreeMap<String, u64>,
 }
 
 impl AbsentWorkers {
-    /// Takes in a whole list; gives those of the workers `held` that were missing for some time.
-    pub(crate) fn listed<'a>(
+    /// Processes a full list; returns those of the `held` workers that have been missing for [`ABSENCE_TIMEOUT`].
+    pub(crate) fn update<'a>(
         &mut self,
         now: u64,
         listed: &BTreeSet<String>,
@@ -28,7 +29,7 @@
         for id in missing {
             self.since.entry(id).or_insert(now);
         }
-        let long = self.since.iter().filter(|(_, since)| now >= **since + ABSENT_FOR);
-        long.map(|(id, _)| id.clone()).collect()
+        let expired = self.since.iter().filter(|(_, since)| now >= **since + ABSENCE_TIMEOUT);
+        expired.map(|(id, _)| id.clone()).collect()
     }
 }
--- a/crates/distribution/src/feed.rs
+++ b/crates/distribution/src/feed.rs
@@ -1,4 +1,4 @@
-//! What a data plane holds, fed by the agent beside it.
+//! State of a data plane, fed by the agent on the same machine.
 
 use crate::links::persists;
 use crate::loads::LoadTable;
@@ -8,26 +8,26 @@
 };
 use switchhill_registration::{SuspicionTimeout, Worker};
 
-/// Suspicion of workers is told by the core.
+/// Data planes do not detect failures themselves; the core reports suspicions.
 const NEVER_SUSPECT: SuspicionTimeout = SuspicionTimeout(u64::MAX / 4);
 
-/// How long worker tables may differ, in milliseconds, before the whole one is asked for.
-const WORKERS_DIFFER_FOR: u64 = 700;
+/// Milliseconds for which the worker tables may differ before the full table is requested.
+const WORKERS_DIVERGENCE_TIMEOUT: u64 = 700;
 
-/// What a message of the agent calls for.
+/// Result of processing a message from the agent.
 #[derive(Debug, Default, PartialEq)]
 pub struct ReceiveOutcome {
-    /// What is to be sent to the agent.
+    /// Messages to send to the agent.
     pub answers: Vec<Upstream>,
-    /// Whether the message told load over the fleet.
+    /// Whether the message updated the fleet-wide load.
     pub loads: bool,
-    /// Workers that the message told of, or of whose models it told.
+    /// Ids of the workers whose entry or models the message contained.
     pub workers: Vec<String>,
-    /// When a missing model should stand, if the message told that.
+    /// Expected availability of a missing model, if the message contained one.
     pub expectation: Option<Expectation>,
 }
 
-/// A data plane's side of the feed.
+/// Data plane side of a feed.
 #[derive(Debug)]
 pub struct FeedState {
     node: String,
@@ -35,13 +35,13 @@
     state: MergedState,
     gatekeepers: u32,
     loads: LoadTable,
-    /// Whether the agent's worker table is whole and from a core with a quorum.
+    /// Whether the agent's worker table is complete and backed by a quorum of the core.
     has_full_worker_table: bool,
-    differs_since: Option<u64>,
+    diverged_since: Option<u64>,
 }
 
 impl FeedState {
-    /// A data plane that knows nothing.
+    /// Creates the state of a data plane that has received nothing yet.
     pub fn new(node: &str, zone: &str) -> FeedState {
         FeedState {
             node: node.to_owned(),
@@ -50,71 +50,71 @@
             gatekeepers: 0,
             loads: LoadTable::default(),
             has_full_worker_table: false,
-            differs_since: None,
+            diverged_since: None,
         }
     }
 
-    /// What it holds.
+    /// Returns the merged state.
     pub fn state(&self) -> &MergedState {
         &self.state
     }
 
-    /// Load over the fleet, this data plane's own included.
+    /// Returns the fleet-wide load, including that of this data plane.
     pub fn loads(&self) -> &LoadTable {
         &self.loads
     }
 
-    /// Gatekeepers that are known to serve.
+    /// Returns the number of gatekeepers known to be serving.
     pub fn gatekeepers(&self) -> u32 {
         self.gatekeepers
     }
 
-    /// The first message on a connection; also a heartbeat.
+    /// Returns the first message of a connection, which also serves as the heartbeat.
     pub fn hello(&self) -> Upstream {
         let (node, zone) = (self.node.clone(), self.zone.clone());
         let hello = Hello { node, zone, revision: self.state.revision(), home: true };
         Upstream { body: Some(UpstreamBody::Hello(hello)) }
     }
 
-    /// Forgets what ended long ago.
+    /// Evicts expired entries.
     pub fn tick(&mut self, now: u64) {
         self.state.tick(now);
     }
 
-    /// Takes in a message of the agent.
+    /// Processes a message from the agent.
     pub fn receive(&mut self, now: u64, message: Downstream) -> ReceiveOutcome {
-        let mut received = ReceiveOutcome::default();
+        let mut outcome = ReceiveOutcome::default();
         match message.body {
-            Some(DownstreamBody::Status(status)) => received.answers = self.status(now, &status),
+            Some(DownstreamBody::Status(status)) => outcome.answers = self.status(now, &status),
             Some(DownstreamBody::Configuration(configuration)) => {
                 let change = self.state.merge_configuration(&configuration);
                 if change == Some(Change::FullConfigurationRequired) {
-                    received.answers.push(fetch(0, false));
+                    outcome.answers.push(fetch(0, false));
                 }
             }
             Some(DownstreamBody::Workers(workers)) => {
                 let entries = workers.entries.iter().filter_map(|entry| Worker::from_bytes(entry).ok());
                 let entries: Vec<Worker> = entries.collect();
-                received.workers.extend(entries.iter().map(|worker| worker.id.clone()));
+                outcome.workers.extend(entries.iter().map(|worker| worker.id.clone()));
                 self.state.merge_entries(now, entries.into_iter());
                 if workers.whole && self.has_full_worker_table {
                     if let Some(Change::Workers(absent)) = self.state.suspect_absent(now, &workers) {
-                        received.workers.extend(absent.into_iter().map(|worker| worker.id));
+                        outcome.workers.extend(absent.into_iter().map(|worker| worker.id));
                     }
                 }
             }
             Some(DownstreamBody::Residency(residency)) => {
                 let changed = self.state.merge_residency(&residency).is_some();
-                received.workers.extend(changed.then_some(residency.worker));
+                outcome.workers.extend(changed.then_some(residency.worker));
             }
             Some(DownstreamBody::Loads(loads)) => {
                 self.loads.apply_fleet(&loads);
-                received.loads = true;
+                outcome.loads = true;
             }
-            Some(DownstreamBody::Expectation(expectation)) => received.expectation = Some(expectation),
+            Some(DownstreamBody::Expectation(expectation)) => outcome.expectation = Some(expectation),
             None => {}
         }
-        received
+        outcome
     }
 
     fn status(&mut self, now: u64, status: &Status) -> Vec<Upstream> {
@@ -127,8 +127,8 @@
         if status.revision > self.state.revision() {
             answers.push(fetch(self.state.revision(), false));
         }
-        let differs = self.has_full_worker_table && status.workers_digest != self.state.workers().digest();
-        if persists(&mut self.differs_since, differs, now, WORKERS_DIFFER_FOR) {
+        let diverged = self.has_full_worker_table && status.workers_digest != self.state.workers().digest();
+        if persists(&mut self.diverged_since, diverged, now, WORKERS_DIVERGENCE_TIMEOUT) {
             answers.push(fetch(self.state.revision(), true));
         }
         answers
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,8 +1,8 @@
-//! Versions of the configuration and the worker table to subscribers: deltas, digests, catch-up.
+//! Replication of the configuration and the worker table to subscribers: deltas, digests and catch-up.
 //!
-//! [`MergedState`] is what a subscriber holds: it merges what any number of publishers tell, and nothing in it goes
-//! back. [`LinkPlanner`] chooses the publishers and finds the home among them. [`SubscriberState`] decides what one
-//! subscriber is sent.
+//! [`MergedState`] is the replica that a subscriber keeps. It merges the messages of any number of publishers and is
+//! monotonic: no part of it returns to an earlier version. [`LinkPlanner`] selects the publishers to connect to and
+//! one of them as the home. [`SubscriberState`] is a publisher's view of one subscriber and decides what to send it.
 
 mod absent;
 mod feed;
--- a/crates/distribution/src/loads.rs
+++ b/crates/distribution/src/loads.rs
@@ -1,45 +1,47 @@
-//! Load and demand told as changes: the figures that one side holds, and which of them are told next.
+//! Delta encoding of load and demand.
 //!
-//! All values are absolute, so a message that is lost leaves old values and never wrong sums. A message holds a bounded
-//! number of entries whatever the size of the fleet: those that changed most come first, and one that waits gains.
+//! All values are absolute, so a lost message leaves stale values but never wrong sums. A delta has a bounded number of
+//! entries whatever the size of the fleet: entries with the largest change take precedence, and the priority of a
+//! deferred entry grows with each round.
 
 use std::collections::BTreeMap;
 use switchhill_protocol::{Loads, ModelDemand, RouteAdmission, Summary, WorkerLoad};
 
-/// Workers in one change.
+/// Maximum number of workers in a delta.
 pub const MAX_WORKERS_PER_DELTA: usize = 64;
 
-/// Models and adapters in one change.
+/// Maximum number of models and adapters in a delta.
 pub const MAX_DEMANDS_PER_DELTA: usize = 48;
 
-/// Routes in one change.
+/// Maximum number of routes in a delta.
 pub const MAX_ROUTES_PER_DELTA: usize = 16;
 
-/// Part by which a rate must differ from what was told.
-const MATERIAL_PART: f64 = 0.1;
+/// Relative difference from the sent value above which a rate is sent again.
+const RELATIVE_RATE_THRESHOLD: f64 = 0.1;
 
-/// Rates a second below which all are alike.
+/// Absolute difference, per second, up to which rates are considered equal.
 const NEGLIGIBLE_RATE: f64 = 0.05;
 
-/// Requests that are added to a load before differences are compared: one of two counts less than four of four.
-const LOAD_BASE: f64 = 4.0;
+/// Number of requests added to a load when its relative change is computed, so that a change by one request at a
+/// load of two weighs less than a change by four at a load of four.
+const LOAD_OFFSET: f64 = 4.0;
 
-/// Model, or adapter of a model, of a service.
+/// Service, model and adapter; the adapter is empty for the model itself.
 pub type DemandKey = (String, String, String);
 
-/// Figures as the other side told them, or as they are.
+/// Current load and demand, or the values received from another node.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LoadTable {
-    /// Requests out at each worker that has any.
+    /// Outstanding requests by worker; workers without any are left out.
     pub loads: BTreeMap<String, u32>,
-    /// Demand for each model and adapter that is asked for.
+    /// Demand by model and adapter; those without demand are left out.
     pub demand: BTreeMap<DemandKey, ModelDemand>,
-    /// What each route that lets anything through lets through.
+    /// Admission rates by route; routes with neither admissions nor delay cost are left out.
     pub admission: BTreeMap<String, RouteAdmission>,
 }
 
 impl LoadTable {
-    /// Takes in a summary: all entries, or changes.
+    /// Applies a summary, either full or a delta.
     pub fn apply(&mut self, summary: &Summary) {
         if !summary.delta {
             *self = LoadTable::default();
@@ -55,7 +57,7 @@
         self.apply_admission(&summary.admission);
     }
 
-    /// Takes in what a core node tells its subscribers.
+    /// Applies the load that a core node sends to its subscribers, either full or a delta.
     pub fn apply_fleet(&mut self, loads: &Loads) {
         if !loads.delta {
             *self = LoadTable::default();
@@ -82,7 +84,7 @@
         }
     }
 
-    /// All entries as a summary.
+    /// Returns all entries as a full summary.
     pub fn to_summary(&self) -> Summary {
         Summary {
             loads: self.worker_loads(),
@@ -92,7 +94,7 @@
         }
     }
 
-    /// All entries for a subscriber, which is told no demand.
+    /// Returns all entries as a full message for a subscriber; subscribers do not receive demand.
     pub fn to_loads(&self, sequence: u64) -> Loads {
         let admission = self.admission.values().cloned().collect();
         Loads { loads: self.worker_loads(), admission, delta: false, sequence }
@@ -106,7 +108,7 @@
         self.loads.iter().map(load).collect()
     }
 
-    /// Adds the figures of another table.
+    /// Adds the values of another table.
     pub fn add(&mut self, other: &LoadTable) {
         for (worker, outstanding) in &other.loads {
             match self.loads.get_mut(worker) {
@@ -143,52 +145,52 @@
     total.aim_ms = total.aim_ms.min(entry.aim_ms);
 }
 
-/// One side's account of what it has told.
+/// Encodes the changes of a load table for a receiver and tracks which values were sent.
 #[derive(Debug, Clone, Default)]
 pub struct LoadDeltaEncoder {
-    told: LoadTable,
-    waiting_loads: Waiting<String>,
-    waiting_demand: Waiting<DemandKey>,
-    waiting_admission: Waiting<String>,
+    sent: LoadTable,
+    deferred_loads: Deferred<String>,
+    deferred_demand: Deferred<DemandKey>,
+    deferred_admission: Deferred<String>,
 }
 
-/// Rounds for which entries that differ from what was told have waited.
-type Waiting<K> = BTreeMap<K, u32>;
+/// Number of rounds for which a changed entry has been deferred, by key.
+type Deferred<K> = BTreeMap<K, u32>;
 
 impl LoadDeltaEncoder {
-    /// What was told, which is what the other side holds if it has heard all.
+    /// Returns the values sent so far, which a receiver of all messages holds.
     pub fn sent(&self) -> &LoadTable {
-        &self.told
+        &self.sent
     }
 
-    /// Forgets what was told and tells all.
+    /// Resets the encoder and returns a full summary.
     pub fn full_summary(&mut self, present: &LoadTable) -> Summary {
-        *self = LoadDeltaEncoder { told: present.clone(), ..LoadDeltaEncoder::default() };
-        self.told.to_summary()
+        *self = LoadDeltaEncoder { sent: present.clone(), ..LoadDeltaEncoder::default() };
+        self.sent.to_summary()
     }
 
-    /// The changes that are told next.
+    /// Returns the next delta.
     pub fn delta_summary(&mut self, present: &LoadTable) -> Summary {
-        let told = &self.told;
+        let sent = &self.sent;
         let loads = most_changed(
-            &told.loads,
+            &sent.loads,
             &present.loads,
             MAX_WORKERS_PER_DELTA,
-            &mut self.waiting_loads,
+            &mut self.deferred_loads,
             load_change,
         );
         let demand = most_changed(
-            &told.demand,
+            &sent.demand,
             &present.demand,
             MAX_DEMANDS_PER_DELTA,
-            &mut self.waiting_demand,
+            &mut self.deferred_demand,
             demand_change,
         );
         let admission = most_changed(
-            &told.admission,
+            &sent.admission,
             &present.admission,
             MAX_ROUTES_PER_DELTA,
-            &mut self.waiting_admission,
+            &mut self.deferred_admission,
             admission_change,
         );
         let load = |worker: String| WorkerLoad {
@@ -201,66 +203,68 @@
             admission: admission.into_iter().map(|route| present_admission(present, route)).collect(),
             delta: true,
         };
-        self.told.apply(&summary);
+        self.sent.apply(&summary);
         summary
     }
 }
 
 fn present_demand(present: &LoadTable, key: DemandKey) -> ModelDemand {
-    let ended = |(service, model, adapter)| ModelDemand { service, model, adapter, ..ModelDemand::default() };
-    present.demand.get(&key).cloned().unwrap_or_else(|| ended(key))
+    let removed =
+        |(service, model, adapter)| ModelDemand { service, model, adapter, ..ModelDemand::default() };
+    present.demand.get(&key).cloned().unwrap_or_else(|| removed(key))
 }
 
 fn present_admission(present: &LoadTable, route: String) -> RouteAdmission {
-    let held = present.admission.get(&route).cloned();
-    held.unwrap_or_else(|| RouteAdmission { route, ..RouteAdmission::default() })
+    let entry = present.admission.get(&route).cloned();
+    entry.unwrap_or_else(|| RouteAdmission { route, ..RouteAdmission::default() })
 }
 
-/// The keys whose values changed most, at most so many; the others wait and gain by it.
+/// Returns at most `limit` keys, those with the largest change first. The others are deferred: their change is
+/// weighted with the number of rounds that they have waited.
 fn most_changed<K: Ord + Clone, V>(
-    told: &BTreeMap<K, V>,
+    sent: &BTreeMap<K, V>,
     present: &BTreeMap<K, V>,
-    most: usize,
-    waiting: &mut Waiting<K>,
+    limit: usize,
+    deferred: &mut Deferred<K>,
     change: impl Fn(Option<&V>, Option<&V>) -> f64,
 ) -> Vec<K> {
-    let ended = told.keys().filter(|key| !present.contains_key(*key));
-    let keys = present.keys().chain(ended);
-    let changes = keys.map(|key| (change(told.get(key), present.get(key)), key));
+    let removed = sent.keys().filter(|key| !present.contains_key(*key));
+    let keys = present.keys().chain(removed);
+    let changes = keys.map(|key| (change(sent.get(key), present.get(key)), key));
     let mut changes: Vec<(f64, &K)> = changes.filter(|(change, _)| *change > 0.0).collect();
-    let waited = std::mem::take(waiting);
+    let waited = std::mem::take(deferred);
     let rounds = |key: &K| waited.get(key).copied().unwrap_or(0);
-    if changes.len() > most {
+    if changes.len() > limit {
         changes.iter_mut().for_each(|(change, key)| *change *= 1.0 + f64::from(rounds(key)));
         changes.sort_by(|(one, _), (other, _)| other.total_cmp(one));
-        waiting.extend(changes.drain(most..).map(|(_, key)| (key.clone(), rounds(key) + 1)));
+        deferred.extend(changes.drain(limit..).map(|(_, key)| (key.clone(), rounds(key) + 1)));
     }
     changes.into_iter().map(|(_, key)| key.clone()).collect()
 }
 
-fn load_change(told: Option<&u32>, present: Option<&u32>) -> f64 {
-    let (told, present) = (f64::from(told.copied().unwrap_or(0)), f64::from(present.copied().unwrap_or(0)));
-    (present - told).abs() / (told + LOAD_BASE)
+fn load_change(sent: Option<&u32>, present: Option<&u32>) -> f64 {
+    let (sent, present) = (f64::from(sent.copied().unwrap_or(0)), f64::from(present.copied().unwrap_or(0)));
+    (present - sent).abs() / (sent + LOAD_OFFSET)
 }
 
-fn demand_change(told: Option<&ModelDemand>, present: Option<&ModelDemand>) -> f64 {
-    let (Some(told), Some(present)) = (told, present) else { return 1.0 };
-    let outstanding = load_change(Some(&told.outstanding), Some(&present.outstanding));
-    let aim = f64::from(u8::from(told.aim_ms != present.aim_ms));
-    outstanding + aim + rate_change(told.requests_per_s, present.requests_per_s)
+fn demand_change(sent: Option<&ModelDemand>, present: Option<&ModelDemand>) -> f64 {
+    let (Some(sent), Some(present)) = (sent, present) else { return 1.0 };
+    let outstanding = load_change(Some(&sent.outstanding), Some(&present.outstanding));
+    let aim = f64::from(u8::from(sent.aim_ms != present.aim_ms));
+    outstanding + aim + rate_change(sent.requests_per_s, present.requests_per_s)
 }
 
-fn admission_change(told: Option<&RouteAdmission>, present: Option<&RouteAdmission>) -> f64 {
-    let (Some(told), Some(present)) = (told, present) else { return 1.0 };
-    rate_change(told.admitted_per_s, present.admitted_per_s)
-        + rate_change(told.delay_cost_per_s, present.delay_cost_per_s)
+fn admission_change(sent: Option<&RouteAdmission>, present: Option<&RouteAdmission>) -> f64 {
+    let (Some(sent), Some(present)) = (sent, present) else { return 1.0 };
+    rate_change(sent.admitted_per_s, present.admitted_per_s)
+        + rate_change(sent.delay_cost_per_s, present.delay_cost_per_s)
 }
 
-/// Part by which a rate differs from what was told; 0 where that is immaterial.
-fn rate_change(told: f64, present: f64) -> f64 {
-    let difference = (present - told).abs();
-    match difference > NEGLIGIBLE_RATE && difference > MATERIAL_PART * told.abs() {
-        true => difference / (told.abs() + NEGLIGIBLE_RATE),
+/// Relative change of a rate since it was sent; 0 if negligible.
+fn rate_change(sent: f64, present: f64) -> f64 {
+    let difference = (present - sent).abs();
+    match difference > NEGLIGIBLE_RATE && difference > RELATIVE_RATE_THRESHOLD * sent.abs() {
+        true => difference / (sent.abs() + NEGLIGIBLE_RATE),
         false => 0.0,
     }
 }
--- a/crates/distribution/src/merged.rs
+++ b/crates/distribution/src/merged.rs
@@ -1,4 +1,4 @@
-//! What a subscriber holds, merged from all its publishers.
+//! State of a subscriber, merged from all its publishers.
 
 use crate::absent::AbsentWorkers;
 use bytes::Bytes;
@@ -8,20 +8,20 @@
 use switchhill_protocol::{Configuration, Residency, Workers};
 use switchhill_registration::{MergeOutcome, SuspicionTimeout, Worker, WorkerTable};
 
-/// What a message changed.
+/// Result of merging a message.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// A newer configuration is held.
+    /// The configuration was replaced by a newer one.
     Configuration,
     /// Entries of the worker table changed.
     Workers(Vec<Worker>),
-    /// What a worker holds changed.
+    /// The models held by a worker changed.
     Residency(Residency),
-    /// A change of the configuration did not fit what is held: the whole one is needed.
+    /// A configuration message could not be applied; the full configuration is required.
     FullConfigurationRequired,
 }
 
-/// Configuration, worker table and residency: the highest revision, sequence and version win.
+/// Configuration, worker table and model residency. The highest revision, sequence and version win, respectively.
 #[derive(Debug)]
 pub struct MergedState {
     document: Option<Arc<Document>>,
@@ -30,78 +30,79 @@
     workers: WorkerTable,
     residency: BTreeMap<String, Residency>,
     absent: AbsentWorkers,
-    /// Entries that the worker table had forgotten when residency was last compared with it.
-    forgotten_entries: u64,
-    /// Whether residency of a worker without an entry was taken in since.
+    /// Number of evicted worker entries at the last cleanup of `residency`.
+    evicted_entries: u64,
+    /// Whether residency of a worker without an entry was merged since then.
     residency_without_worker: bool,
 }
 
 impl MergedState {
-    /// An empty state.
-    pub fn new(suspect_after: SuspicionTimeout) -> MergedState {
+    /// Creates an empty state.
+    pub fn new(suspicion_timeout: SuspicionTimeout) -> MergedState {
         MergedState {
             document: None,
             encoded: Bytes::new(),
             confirmed: false,
-            workers: WorkerTable::new(suspect_after),
+            workers: WorkerTable::new(suspicion_timeout),
             residency: BTreeMap::new(),
             absent: AbsentWorkers::default(),
-            forgotten_entries: 0,
+            evicted_entries: 0,
             residency_without_worker: false,
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration, if there is one.
     pub fn document(&self) -> Option<&Arc<Document>> {
         self.document.as_ref()
     }
 
-    /// The configuration as JSON; empty if there is none.
+    /// Returns the configuration as JSON; empty if there is none.
     pub fn encoded(&self) -> &Bytes {
         &self.encoded
     }
 
-    /// Revision of the configuration, 0 for none.
+    /// Returns the revision of the configuration, 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.revision())
     }
 
-    /// Whether a publisher with quorum contact gave or repeated the configuration that is held.
+    /// Returns whether a publisher with quorum contact sent or confirmed the current configuration.
     pub fn confirmed(&self) -> bool {
         self.confirmed
     }
 
-    /// The worker table.
+    /// Returns the worker table.
     pub fn workers(&self) -> &WorkerTable {
         &self.workers
     }
 
-    /// The worker table, to be changed.
+    /// Returns the worker table for modification.
     pub fn workers_mut(&mut self) -> &mut WorkerTable {
         &mut self.workers
     }
 
-    /// What workers hold, as the placer knows.
+    /// Returns the models held by each worker, as reported by the placer.
     pub fn residency(&self) -> &BTreeMap<String, Residency> {
         &self.residency
     }
 
-    /// Notes that a publisher with quorum contact has a revision.
+    /// Records that a publisher with quorum contact has `revision`. Returns whether this newly confirms the current
+    /// configuration.
     pub fn confirm(&mut self, revision: u64) -> bool {
         let newly = !self.confirmed && revision > 0 && revision == self.revision();
         self.confirmed |= newly;
         newly
     }
 
-    /// Takes in a configuration.
+    /// Merges a configuration message.
     pub fn merge_configuration(&mut self, message: &Configuration) -> Option<Change> {
         if message.revision <= self.revision() {
             return None;
         }
-        let document = match self.read(message) {
+        let document = match self.decode(message) {
             Ok(document) => document,
-            Err(fault) => {
-                log::warn!("configuration {}: {fault}", message.revision);
+            Err(error) => {
+                log::warn!("cannot apply configuration revision {}: {error}", message.revision);
                 return Some(Change::FullConfigurationRequired);
             }
         };
@@ -109,29 +110,29 @@
         Some(Change::Configuration)
     }
 
-    /// Replaces the configuration by a newer one.
+    /// Replaces the configuration. The caller ensures that `document` is newer.
     pub fn set_document(&mut self, document: Document, confirmed: bool) {
         self.encoded = Bytes::from(document.to_json());
         self.document = Some(Arc::new(document));
         self.confirmed = confirmed;
     }
 
-    fn read(&self, message: &Configuration) -> Result<Document, String> {
+    fn decode(&self, message: &Configuration) -> Result<Document, String> {
         if message.delta.is_empty() {
             return Document::parse(&message.document).map_err(|error| error.to_string());
         }
         let delta = Delta::decode(&message.delta).map_err(|error| error.to_string())?;
-        let held = self.document.as_ref().ok_or("a change without a configuration to build on")?;
+        let held = self.document.as_ref().ok_or("received a delta without a base configuration")?;
         held.apply_delta(&delta).map_err(|error| error.to_string())
     }
 
-    /// Takes in entries of the worker table.
+    /// Merges entries of the worker table; entries that do not decode are skipped.
     pub fn merge_workers(&mut self, now: u64, message: &Workers) -> Option<Change> {
         let entries = message.entries.iter().filter_map(|entry| Worker::from_bytes(entry).ok());
         self.merge_entries(now, entries)
     }
 
-    /// Takes in entries that are decoded already.
+    /// Merges decoded entries of the worker table.
     pub fn merge_entries(&mut self, now: u64, entries: impl Iterator<Item = Worker>) -> Option<Change> {
         let mut changed = Vec::new();
         for worker in entries {
@@ -143,18 +144,18 @@
         (!changed.is_empty()).then_some(Change::Workers(changed))
     }
 
-    /// Suspects workers that whole lists have not named for some time.
-    pub fn suspect_absent(&mut self, now: u64, whole: &Workers) -> Option<Change> {
-        let listed = whole.entries.iter().filter_map(|entry| Worker::from_bytes(entry).ok());
+    /// Suspects workers that have been missing from full worker lists for some time.
+    pub fn suspect_absent(&mut self, now: u64, full: &Workers) -> Option<Change> {
+        let listed = full.entries.iter().filter_map(|entry| Worker::from_bytes(entry).ok());
         let listed = listed.map(|worker| worker.id).collect();
         let held = self.workers.iter().filter(|worker| !worker.is_gone() && !worker.suspected);
-        let absent = self.absent.listed(now, &listed, held.map(|worker| worker.id.as_str()));
+        let absent = self.absent.update(now, &listed, held.map(|worker| worker.id.as_str()));
         let suspected = |id: &String| Some(Worker { suspected: true, ..self.workers.get(id)?.clone() });
         let suspected: Vec<Worker> = absent.iter().filter_map(suspected).collect();
         self.merge_entries(now, suspected.into_iter())
     }
 
-    /// Takes in what a worker holds.
+    /// Merges the residency of a worker.
     pub fn merge_residency(&mut self, message: &Residency) -> Option<Change> {
         let newer = |held: &Residency| (message.epoch, message.version) > (held.epoch, held.version);
         if !self.residency.get(&message.worker).is_none_or(newer) {
@@ -165,13 +166,13 @@
         Some(Change::Residency(message.clone()))
     }
 
-    /// Forgets what ended long ago.
+    /// Evicts expired worker entries, and the residency of workers without an entry.
     pub fn tick(&mut self, now: u64) {
         self.workers.tick(now, false);
         let workers = &self.workers;
-        let forgotten = workers.evicted_entries();
-        if forgotten != self.forgotten_entries || self.residency_without_worker {
-            self.forgotten_entries = forgotten;
+        let evicted = workers.evicted_entries();
+        if evicted != self.evicted_entries || self.residency_without_worker {
+            self.evicted_entries = evicted;
             self.residency_without_worker = false;
             self.residency.retain(|worker, _| workers.get(worker).is_some());
         }
--- a/crates/distribution/src/publisher.rs
+++ b/crates/distribution/src/publisher.rs
@@ -1,4 +1,4 @@
-//! What one subscriber is sent.
+//! Publisher side: messages for one subscriber.
 
 use bytes::Bytes;
 use switchhill_configuration::{Delta, Document};
@@ -7,19 +7,19 @@
 
 use crate::merged::MergedState;
 
-/// A change between two configurations, made once for all subscribers.
+/// Encoded delta between two configurations, computed once for all subscribers.
 #[derive(Debug, Clone)]
 pub struct ConfigurationDelta {
-    /// Revision before.
+    /// Revision that the delta applies to.
     pub from_revision: u64,
-    /// Revision after.
+    /// Resulting revision.
     pub revision: u64,
-    /// The change.
+    /// Encoded delta.
     pub delta: Bytes,
 }
 
 impl ConfigurationDelta {
-    /// The change between two configurations.
+    /// Computes the delta from `old` to `new`.
     pub fn between(old: &Document, new: &Document) -> ConfigurationDelta {
         ConfigurationDelta {
             from_revision: old.revision(),
@@ -29,39 +29,40 @@
     }
 }
 
-/// State of one subscriber at its publisher.
+/// Publisher's view of one subscriber.
 #[derive(Debug, Clone)]
 pub struct SubscriberState {
-    /// Revision that the subscriber holds or has been sent.
+    /// Latest revision that the subscriber has or was sent.
     pub sent_revision: u64,
     /// Whether this publisher is the subscriber's home.
     pub home: bool,
 }
 
 impl SubscriberState {
-    /// A subscriber that holds a revision, 0 for none.
+    /// Creates the state of a subscriber that has `revision`, 0 for none.
     pub fn new(revision: u64, home: bool) -> SubscriberState {
         SubscriberState { sent_revision: revision, home }
     }
 
-    /// The message that brings the subscriber to the newest configuration, if it needs one.
+    /// Returns the message that updates the subscriber to the latest configuration, if it is behind. The delta is used
+    /// if it applies to the revision sent last; otherwise the full document is sent.
     pub fn configuration(
         &mut self,
         state: &MergedState,
-        change: Option<&ConfigurationDelta>,
+        delta: Option<&ConfigurationDelta>,
     ) -> Option<Downstream> {
         let revision = state.revision();
         if revision <= self.sent_revision {
             return None;
         }
-        let delta =
-            change.filter(|change| change.from_revision == self.sent_revision && change.revision == revision);
-        let message = match delta {
-            Some(change) => Configuration {
+        let applicable =
+            delta.filter(|delta| delta.from_revision == self.sent_revision && delta.revision == revision);
+        let message = match applicable {
+            Some(delta) => Configuration {
                 revision,
                 document: Bytes::new(),
-                delta: change.delta.clone(),
-                from_revision: change.from_revision,
+                delta: delta.delta.clone(),
+                from_revision: delta.from_revision,
                 confirmed: state.confirmed(),
             },
             None => Configuration {
@@ -78,7 +79,7 @@
 }
 
 impl MergedState {
-    /// All entries of the worker table and what workers hold, as messages.
+    /// Returns all worker entries and residencies as messages.
     pub fn snapshot(&self) -> Vec<Downstream> {
         let entries = self.workers().iter().map(Worker::to_bytes).collect();
         let workers = Downstream { body: Some(DownstreamBody::Workers(Workers { entries, whole: true })) };
@@ -87,19 +88,20 @@
     }
 }
 
-/// Entries of the worker table as a message.
+/// Encodes worker entries as an incremental message.
 pub(crate) fn workers_message(workers: &[Worker]) -> Downstream {
     let entries = workers.iter().map(Worker::to_bytes).collect();
     Downstream { body: Some(DownstreamBody::Workers(Workers { entries, whole: false })) }
 }
 
-/// What a worker holds as a message.
+/// Wraps a residency in a message.
 pub(crate) fn residency_message(residency: Residency) -> Downstream {
     Downstream { body: Some(DownstreamBody::Residency(residency)) }
 }
 
 impl crate::Change {
-    /// The message that tells subscribers of a change of workers or residency.
+    /// Returns the message that propagates a change of workers or residency to subscribers; `None` for other
+    /// changes.
     pub fn message(&self) -> Option<Downstream> {
         match self {
             crate::Change::Workers(workers) => Some(workers_message(workers)),
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -1,4 +1,4 @@
-//! The agent's decisions: links to core nodes on one side, data planes on the other.
+//! Agent logic: relays between core nodes (links) and data planes (feeds).
 
 use crate::links::{LinkAction, LinkId, LinkPlanner, LinkSettings};
 use crate::loads::LoadTable;
@@ -10,43 +10,43 @@
 };
 use switchhill_registration::SuspicionTimeout;
 
-/// Time in milliseconds between two statuses to a data plane.
-const STATUS_EVERY: u64 = 500;
+/// Interval in milliseconds between status messages to data planes.
+const STATUS_INTERVAL: u64 = 500;
 
-/// Time in milliseconds without any input after which the agent was not running: it hangs up on its links before it reads
-/// what they have brought meanwhile.
-const STOOD_STILL_AFTER: u64 = 900;
+/// Milliseconds without any input after which the process is assumed to have been paused. Idle links are then closed
+/// before the messages that queued up on them are processed.
+const PAUSE_THRESHOLD: u64 = 900;
 
-/// Suspicion of workers is told by the core; the agent has none of its own.
+/// Agents do not detect failures themselves; the core reports suspicions.
 const NEVER_SUSPECT: SuspicionTimeout = SuspicionTimeout(u64::MAX / 4);
 
-/// A connection of a data plane.
+/// Identifies a connection from a data plane.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FeedId(pub u64);
 
-/// What happens to an agent.
+/// Input event of an agent.
 #[derive(Debug, Clone)]
 pub enum RelayInput {
-    /// Time has passed.
+    /// Periodic timer event.
     Tick,
-    /// A connection to a core node came up.
+    /// A connection to a core node was established.
     LinkUp(LinkId),
-    /// A connection to a core node failed or ended.
+    /// A connection to a core node failed or was closed.
     LinkLost(LinkId),
-    /// A core node's message.
+    /// A message from a core node.
     Link(LinkId, Downstream),
-    /// A data plane's message.
+    /// A message from a data plane.
     Feed(FeedId, Upstream),
-    /// A data plane's connection ended.
+    /// The connection of a data plane was closed.
     FeedGone(FeedId),
 }
 
-/// What an agent wants done.
+/// Output action of an agent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RelayOutput {
     /// Connect to a core node.
     Connect(LinkId, String),
-    /// Drop a link.
+    /// Close a link.
     Close(LinkId),
     /// Send a message to a core node.
     ToLink(LinkId, Upstream),
@@ -54,7 +54,7 @@
     ToFeed(FeedId, Downstream),
 }
 
-/// An agent.
+/// State machine of an agent.
 pub struct Relay {
     node: String,
     zone: String,
@@ -65,19 +65,20 @@
     warm: bool,
     core: Vec<String>,
     next_status: u64,
-    handled_at: Option<u64>,
-    /// Load over the fleet as the home tells it, and the number of its last message.
+    last_input_at: Option<u64>,
+    /// Fleet-wide load as received from the home.
     fleet: LoadTable,
+    /// Sequence number of the last load message from the home; `None` until a full one arrives.
     fleet_sequence: Option<u64>,
-    /// Load and demand as each data plane tells them.
-    own: BTreeMap<FeedId, LoadTable>,
-    /// The home that was told all of them and each change since.
-    told_home: Option<LinkId>,
+    /// Load and demand reported by each data plane.
+    feed_loads: BTreeMap<FeedId, LoadTable>,
+    /// Home that has received `feed_loads` in full and all changes since.
+    synced_home: Option<LinkId>,
     out: Vec<RelayOutput>,
 }
 
 impl Relay {
-    /// An agent that knows these core nodes.
+    /// Creates an agent that knows the core nodes `seeds`.
     pub fn new(node: &str, zone: &str, seeds: Vec<String>, settings: LinkSettings) -> Relay {
         Relay {
             node: node.to_owned(),
@@ -89,38 +90,38 @@
             warm: false,
             core: Vec::new(),
             next_status: 0,
-            handled_at: None,
+            last_input_at: None,
             fleet: LoadTable::default(),
             fleet_sequence: None,
-            own: BTreeMap::new(),
-            told_home: None,
+            feed_loads: BTreeMap::new(),
+            synced_home: None,
             out: Vec::new(),
         }
     }
 
-    /// What the agent holds.
+    /// Returns the merged state.
     pub fn state(&self) -> &MergedState {
         &self.state
     }
 
-    /// Takes in what happened and returns what is to be done, in this order.
+    /// Processes an input and returns the resulting actions in the order in which they have to be performed.
     pub fn handle(&mut self, now: u64, input: RelayInput) -> Vec<RelayOutput> {
-        if self.handled_at.replace(now).is_some_and(|before| now >= before + STOOD_STILL_AFTER) {
+        if self.last_input_at.replace(now).is_some_and(|before| now >= before + PAUSE_THRESHOLD) {
             self.tick(now);
         }
         match input {
             RelayInput::Tick => self.tick(now),
             RelayInput::LinkUp(id) => {
                 let actions = self.links.connected(now, id);
-                self.act(actions);
+                self.apply_link_actions(actions);
             }
             RelayInput::LinkLost(id) => self.links.disconnected(now, id),
             RelayInput::Link(id, message) => self.link_message(now, id, message),
             RelayInput::Feed(id, message) => self.feed_message(now, id, message),
             RelayInput::FeedGone(id) => {
                 self.feeds.remove(&id);
-                if self.own.remove(&id).is_some() {
-                    self.told_home = None;
+                if self.feed_loads.remove(&id).is_some() {
+                    self.synced_home = None;
                 }
             }
         }
@@ -129,15 +130,15 @@
 
     fn tick(&mut self, now: u64) {
         let actions = self.links.tick(now);
-        self.act(actions);
+        self.apply_link_actions(actions);
         self.state.tick(now);
         if now >= self.next_status {
-            self.next_status = now + STATUS_EVERY;
+            self.next_status = now + STATUS_INTERVAL;
             self.publish_status();
         }
     }
 
-    fn act(&mut self, actions: Vec<LinkAction>) {
+    fn apply_link_actions(&mut self, actions: Vec<LinkAction>) {
         for action in actions {
             let output = match action {
                 LinkAction::Connect(id, address) => RelayOutput::Connect(id, address),
@@ -158,7 +159,7 @@
         RelayOutput::ToLink(id, Upstream { body: Some(UpstreamBody::Hello(hello)) })
     }
 
-    /// Takes in what a core node says; on a link that was given up it no longer counts.
+    /// Processes a message from a core node. Messages on links that were closed are ignored.
     fn link_message(&mut self, now: u64, id: LinkId, message: Downstream) {
         if !self.links.up().any(|up| up == id) {
             return;
@@ -188,7 +189,7 @@
     fn link_status(&mut self, now: u64, id: LinkId, status: Status) {
         let (revision, digest) = (self.state.revision(), self.state.workers().digest());
         let actions = self.links.status(now, id, &status, revision, digest);
-        self.act(actions);
+        self.apply_link_actions(actions);
         if !status.quorum {
             return;
         }
@@ -202,7 +203,7 @@
     }
 
     fn configuration(&mut self, id: LinkId, message: &Configuration) {
-        // Without a quorum behind it a configuration may be old, and is not taken into force.
+        // A configuration that is not backed by a quorum may be stale and is not applied.
         if !message.confirmed {
             return;
         }
@@ -210,8 +211,8 @@
         match self.state.merge_configuration(message) {
             Some(Change::Configuration) => {
                 let new = self.state.document();
-                let published = old.zip(new).map(|(old, new)| ConfigurationDelta::between(&old, new));
-                self.publish_configuration(published.as_ref());
+                let delta = old.zip(new).map(|(old, new)| ConfigurationDelta::between(&old, new));
+                self.publish_configuration(delta.as_ref());
             }
             Some(Change::FullConfigurationRequired) => {
                 let fetch = Fetch { have_revision: 0, workers: false };
@@ -221,14 +222,14 @@
         }
     }
 
-    /// Load over the fleet: of the home alone, and a change only after the message that it builds on.
+    /// Processes fleet-wide load: only from the home, and a delta only directly after its predecessor.
     fn fleet_loads(&mut self, id: LinkId, loads: Loads) {
         if self.links.home() != Some(id) {
             return;
         }
-        let fits = self.fleet_sequence.is_some_and(|last| loads.sequence == last + 1);
-        if loads.delta && !fits {
-            self.ask_for_whole_loads(id);
+        let in_sequence = self.fleet_sequence.is_some_and(|last| loads.sequence == last + 1);
+        if loads.delta && !in_sequence {
+            self.request_full_loads(id);
             return;
         }
         self.fleet.apply_fleet(&loads);
@@ -236,18 +237,19 @@
         self.publish(&Downstream { body: Some(DownstreamBody::Loads(loads)) });
     }
 
-    /// A home begins with the whole list: the link stops being it and is it again.
-    fn ask_for_whole_loads(&mut self, id: LinkId) {
+    /// Requests the full load from the home. A publisher sends it when it becomes the home, so the link is demoted and
+    /// promoted again.
+    fn request_full_loads(&mut self, id: LinkId) {
         self.fleet_sequence = None;
         let hellos = [self.hello(id, false), self.hello(id, true)];
         self.out.extend(hellos);
     }
 
-    fn publish_configuration(&mut self, change: Option<&ConfigurationDelta>) {
-        let confirmed = self.confirms();
-        for (id, publisher) in &mut self.feeds {
-            if let Some(message) = publisher.configuration(&self.state, change) {
-                self.out.push(RelayOutput::ToFeed(*id, confirmed_if(message, confirmed)));
+    fn publish_configuration(&mut self, delta: Option<&ConfigurationDelta>) {
+        let confirmed = self.is_confirmed();
+        for (id, subscriber) in &mut self.feeds {
+            if let Some(message) = subscriber.configuration(&self.state, delta) {
+                self.out.push(RelayOutput::ToFeed(*id, with_confirmation(message, confirmed)));
             }
         }
     }
@@ -271,7 +273,7 @@
 
     fn status(&self) -> Downstream {
         let status = Status {
-            quorum: self.confirms(),
+            quorum: self.is_confirmed(),
             warm: self.warm,
             revision: self.state.revision(),
             workers_digest: self.state.workers().digest(),
@@ -282,8 +284,8 @@
         Downstream { body: Some(DownstreamBody::Status(status)) }
     }
 
-    /// Whether a core node with a quorum stands behind the configuration that is held.
-    fn confirms(&self) -> bool {
+    /// Returns whether the configuration is confirmed and a core node with quorum contact is connected.
+    fn is_confirmed(&self) -> bool {
         self.links.has_quorum_contact() && self.state.confirmed()
     }
 
@@ -302,35 +304,35 @@
         if self.feeds.contains_key(&id) {
             return;
         }
-        let mut publisher = SubscriberState::new(hello.revision, true);
+        let mut subscriber = SubscriberState::new(hello.revision, true);
         self.out.push(RelayOutput::ToFeed(id, self.status()));
-        self.feed_configuration(id, &mut publisher);
-        let whole = self.state.snapshot().into_iter().map(|message| RelayOutput::ToFeed(id, message));
-        self.out.extend(whole);
+        self.feed_configuration(id, &mut subscriber);
+        let snapshot = self.state.snapshot().into_iter().map(|message| RelayOutput::ToFeed(id, message));
+        self.out.extend(snapshot);
         if let Some(sequence) = self.fleet_sequence {
             let loads = Downstream { body: Some(DownstreamBody::Loads(self.fleet.to_loads(sequence))) };
             self.out.push(RelayOutput::ToFeed(id, loads));
         }
-        self.feeds.insert(id, publisher);
+        self.feeds.insert(id, subscriber);
     }
 
     fn feed_fetch(&mut self, id: FeedId, fetch: &Fetch) {
         if fetch.workers {
-            let whole = self.state.snapshot().into_iter().map(|message| RelayOutput::ToFeed(id, message));
-            self.out.extend(whole);
+            let snapshot = self.state.snapshot().into_iter().map(|message| RelayOutput::ToFeed(id, message));
+            self.out.extend(snapshot);
             return;
         }
-        let mut publisher = SubscriberState::new(fetch.have_revision, true);
-        self.feed_configuration(id, &mut publisher);
+        let mut subscriber = SubscriberState::new(fetch.have_revision, true);
+        self.feed_configuration(id, &mut subscriber);
     }
 
-    fn feed_configuration(&mut self, id: FeedId, publisher: &mut SubscriberState) {
-        let message = publisher.configuration(&self.state, None);
-        let message = message.map(|message| confirmed_if(message, self.confirms()));
+    fn feed_configuration(&mut self, id: FeedId, subscriber: &mut SubscriberState) {
+        let message = subscriber.configuration(&self.state, None);
+        let message = message.map(|message| with_confirmation(message, self.is_confirmed()));
         self.out.extend(message.map(|message| RelayOutput::ToFeed(id, message)));
     }
 
-    /// Passes what a data plane tells on to one core node.
+    /// Forwards a message from a data plane to the home, or to another core node if there is no home.
     fn forward(&mut self, body: UpstreamBody) {
         let link = self.links.home().or_else(|| self.links.up().next());
         if let Some(link) = link {
@@ -338,28 +340,29 @@
         }
     }
 
-    /// Load of all data planes: of two while one takes over from the other.
-    fn own_load(&self) -> LoadTable {
+    /// Sums the load of all data planes. There are two of them during a handover from one to the other.
+    fn total_feed_load(&self) -> LoadTable {
         let mut total = LoadTable::default();
-        self.own.values().for_each(|table| total.add(table));
+        self.feed_loads.values().for_each(|table| total.add(table));
         total
     }
 
-    /// Tells the home of the data plane's load: all of it to a new home, then changes as they come.
+    /// Forwards the load of the data planes to the home. A new home receives the full load first. Deltas are forwarded
+    /// unchanged while there is a single data plane; otherwise the full sum is sent.
     fn forward_summary(&mut self, feed: FeedId, summary: Summary) {
-        self.own.entry(feed).or_default().apply(&summary);
+        self.feed_loads.entry(feed).or_default().apply(&summary);
         let Some(home) = self.links.home() else { return };
-        let knows_all = self.told_home.replace(home) == Some(home);
-        let told = match knows_all && self.own.len() == 1 {
+        let is_synced = self.synced_home.replace(home) == Some(home);
+        let forwarded = match is_synced && self.feed_loads.len() == 1 {
             true => summary,
-            false => self.own_load().to_summary(),
+            false => self.total_feed_load().to_summary(),
         };
-        self.out.push(RelayOutput::ToLink(home, Upstream { body: Some(UpstreamBody::Summary(told)) }));
+        self.out.push(RelayOutput::ToLink(home, Upstream { body: Some(UpstreamBody::Summary(forwarded)) }));
     }
 }
 
-/// A configuration as a message, confirmed only if the agent is in contact now.
-fn confirmed_if(mut message: Downstream, confirmed: bool) -> Downstream {
+/// Clears the `confirmed` flag of a configuration message unless `confirmed` is set.
+fn with_confirmation(mut message: Downstream, confirmed: bool) -> Downstream {
     if let Some(DownstreamBody::Configuration(configuration)) = &mut message.body {
         configuration.confirmed &= confirmed;
     }
--- a/crates/distribution/tests/late_messages.rs
+++ b/crates/distribution/tests/late_messages.rs
@@ -1,5 +1,5 @@
-//! Messages to a data plane or an agent in every order of arrival, once and twice: nothing goes back, and whoever has heard
-//! all holds the newest.
+//! Delayed, reordered and duplicated messages to a data plane or an agent: the state never returns to an earlier
+//! version, and after all messages it is the latest one.
 #![allow(missing_docs)]
 
 use bytes::Bytes;
@@ -30,7 +30,7 @@
     Downstream { body: Some(body) }
 }
 
-fn whole(revision: u64) -> Downstream {
+fn full_configuration(revision: u64) -> Downstream {
     downstream(DownstreamBody::Configuration(Configuration {
         revision,
         document: Bytes::from(document(revision).to_json()),
@@ -39,7 +39,7 @@
     }))
 }
 
-fn change(from_revision: u64, revision: u64) -> Downstream {
+fn delta(from_revision: u64, revision: u64) -> Downstream {
     let delta = Delta::between(&document(from_revision), &document(revision));
     downstream(DownstreamBody::Configuration(Configuration {
         revision,
@@ -71,12 +71,12 @@
     downstream(DownstreamBody::Status(Status { quorum, revision, ..Status::default() }))
 }
 
-/// What is told in the course of a change, a worker's end and a change of the placer.
+/// Messages sent while the configuration changes, a worker terminates and the placer is replaced.
 fn messages() -> Vec<Downstream> {
     vec![
-        whole(1),
-        change(1, 2),
-        whole(3),
+        full_configuration(1),
+        delta(1, 2),
+        full_configuration(3),
         worker(5, WorkerState::Draining { remaining_ms: None }),
         worker(5, WorkerState::Gone),
         residency(2, 9),
@@ -84,13 +84,13 @@
     ]
 }
 
-/// What can be compared: later is greater or equal in each part.
-type Held = (u64, (bool, u64), (u64, u64));
+/// Versions of the configuration, the worker and the residency. Each part must never decrease.
+type Versions = (u64, (bool, u64), (u64, u64));
 
-/// One that takes messages in.
-trait Holder: Default {
-    fn take(&mut self, message: Downstream);
-    fn held(&self) -> Held;
+/// A receiver of messages.
+trait Receiver: Default {
+    fn receive(&mut self, message: Downstream);
+    fn versions(&self) -> Versions;
 }
 
 struct DataPlane(FeedState);
@@ -101,12 +101,12 @@
     }
 }
 
-impl Holder for DataPlane {
-    fn take(&mut self, message: Downstream) {
+impl Receiver for DataPlane {
+    fn receive(&mut self, message: Downstream) {
         self.0.receive(1_000_000, message);
     }
 
-    fn held(&self) -> Held {
+    fn versions(&self) -> Versions {
         let state = self.0.state();
         let worker =
             state.workers().get("w-1").map_or((false, 0), |worker| (worker.is_gone(), worker.sequence));
@@ -115,12 +115,12 @@
     }
 }
 
-/// The planted fault: what comes last counts.
+/// Deliberately faulty receiver: the last message wins. Shows that the check detects a regression of the state.
 #[derive(Default)]
-struct LastCounts(Held);
+struct LastMessageWins(Versions);
 
-impl Holder for LastCounts {
-    fn take(&mut self, message: Downstream) {
+impl Receiver for LastMessageWins {
+    fn receive(&mut self, message: Downstream) {
         match message.body {
             Some(DownstreamBody::Configuration(configuration)) => self.0 .0 = configuration.revision,
             Some(DownstreamBody::Workers(workers)) => {
@@ -132,28 +132,29 @@
         }
     }
 
-    fn held(&self) -> Held {
+    fn versions(&self) -> Versions {
         self.0
     }
 }
 
-/// Takes the messages in every order, each twice in a row, and all once more at the end; tells what went wrong first.
-fn in_every_order<H: Holder>() -> std::result::Result<usize, String> {
+/// Delivers the messages in every order, each twice in a row, followed by all of them once more. Returns the number
+/// of orders, or a description of the first violation.
+fn check_every_order<R: Receiver>() -> std::result::Result<usize, String> {
     let messages = messages();
     let mut order: Vec<usize> = (0..messages.len()).collect();
     let mut orders = 0;
     loop {
         orders += 1;
-        let mut holder = H::default();
-        let mut before = holder.held();
-        let late = order.iter().copied().flat_map(|index| [index, index]);
-        for index in late.chain(0..messages.len()) {
-            holder.take(messages[index].clone());
-            let held = holder.held();
-            if held.0 < before.0 || held.1 < before.1 || held.2 < before.2 {
-                return Err(format!("order {order:?}, message {index}: {before:?} became {held:?}"));
+        let mut receiver = R::default();
+        let mut before = receiver.versions();
+        let duplicated = order.iter().copied().flat_map(|index| [index, index]);
+        for index in duplicated.chain(0..messages.len()) {
+            receiver.receive(messages[index].clone());
+            let after = receiver.versions();
+            if after.0 < before.0 || after.1 < before.1 || after.2 < before.2 {
+                return Err(format!("order {order:?}, message {index}: {before:?} became {after:?}"));
             }
-            before = held;
+            before = after;
         }
         if before != (3, (true, 5), (3, 1)) {
             return Err(format!("order {order:?} ends with {before:?}"));
@@ -164,30 +165,31 @@
     }
 }
 
-/// The next order of the items in the order of the dictionary; false after the last one.
+/// Advances the items to the next permutation in lexicographic order; returns false after the last one.
 fn next_permutation(items: &mut [usize]) -> bool {
     let Some(pivot) = items.windows(2).rposition(|pair| pair[0] < pair[1]) else { return false };
-    let greater = items.iter().rposition(|item| *item > items[pivot]).expect("the one behind it");
+    let greater =
+        items.iter().rposition(|item| *item > items[pivot]).expect("an item greater than the pivot");
     items.swap(pivot, greater);
     items[pivot + 1..].reverse();
     true
 }
 
 #[gtest]
-fn in_every_order_and_twice_nothing_goes_back_and_the_newest_is_held() {
-    expect_that!(in_every_order::<DataPlane>(), ok(eq(&5_040)));
+fn reordered_and_duplicated_messages_never_regress_the_state() {
+    expect_that!(check_every_order::<DataPlane>(), ok(eq(&5_040)));
 }
 
 #[gtest]
-fn planted_last_message_counts_is_noticed() {
-    expect_that!(in_every_order::<LastCounts>(), err(contains_substring("became")));
+fn a_receiver_that_regresses_is_detected() {
+    expect_that!(check_every_order::<LastMessageWins>(), err(contains_substring("became")));
 }
 
 fn hello_of(feed: &FeedState) -> Upstream {
     feed.hello()
 }
 
-/// Hands what an agent sends to one feed over to a data plane; the data plane's questions go back.
+/// Delivers the output of an agent for one feed to a data plane, and its replies back to the agent.
 fn deliver(relay: &mut Relay, id: FeedId, feed: &mut FeedState, outputs: Vec<RelayOutput>) {
     let mut outputs = std::collections::VecDeque::from(outputs);
     while let Some(output) = outputs.pop_front() {
@@ -200,7 +202,7 @@
     }
 }
 
-/// An agent that has heard these messages from a core node.
+/// Creates an agent that has received these messages from a core node.
 fn agent(messages: &[Downstream]) -> Relay {
     let seeds = vec!["10.0.0.1:7660".to_owned()];
     let mut relay = Relay::new("edge-1", "north", seeds, Default::default());
@@ -218,18 +220,23 @@
 }
 
 #[gtest]
-fn a_data_plane_that_reconnects_is_told_the_whole_state_anew() {
+fn a_data_plane_that_reconnects_receives_the_full_state_again() {
     let draining = worker(5, WorkerState::Draining { remaining_ms: None });
-    let mut relay = agent(&[whole(1), worker(4, WorkerState::Ready)]);
+    let mut relay = agent(&[full_configuration(1), worker(4, WorkerState::Ready)]);
     let mut feed = FeedState::new("edge-1", "north");
     let first = FeedId(1);
     let outputs = relay.handle(1_000_000, RelayInput::Feed(first, hello_of(&feed)));
     deliver(&mut relay, first, &mut feed, outputs);
     expect_that!(feed.state().revision(), eq(1));
-    // What the agent tells while the connection is down is lost on the way.
+    // Messages that the agent sends while the connection is down are lost.
     relay.handle(1_000_000, RelayInput::FeedGone(first));
-    let mut newer =
-        agent(&[whole(1), worker(4, WorkerState::Ready), change(1, 2), draining, residency(3, 1)]);
+    let mut newer = agent(&[
+        full_configuration(1),
+        worker(4, WorkerState::Ready),
+        delta(1, 2),
+        draining,
+        residency(3, 1),
+    ]);
     let second = FeedId(2);
     let outputs = newer.handle(1_000_000, RelayInput::Feed(second, hello_of(&feed)));
     deliver(&mut newer, second, &mut feed, outputs);
@@ -239,21 +246,22 @@
 }
 
 #[gtest]
-fn an_agent_that_started_again_and_knows_less_takes_nothing_back() {
+fn a_restarted_agent_with_older_state_does_not_regress_the_data_plane() {
     let gone = worker(5, WorkerState::Gone);
-    let mut relay = agent(&[whole(3), gone.clone(), residency(3, 1), status(true, 3)]);
+    let mut relay = agent(&[full_configuration(3), gone.clone(), residency(3, 1), status(true, 3)]);
     let mut feed = FeedState::new("edge-1", "north");
     let outputs = relay.handle(1_000_000, RelayInput::Feed(FeedId(1), hello_of(&feed)));
     deliver(&mut relay, FeedId(1), &mut feed, outputs);
     let held = (feed.state().revision(), feed.state().confirmed());
     expect_that!(held, eq((3, true)));
-    // Its first links are to core nodes that lag, and it fetches on demand.
-    let mut older = agent(&[whole(1), worker(4, WorkerState::Ready), residency(2, 9), status(true, 1)]);
-    for question in [
+    // The restarted agent is connected to lagging core nodes. The data plane greets it and fetches the configuration.
+    let mut older =
+        agent(&[full_configuration(1), worker(4, WorkerState::Ready), residency(2, 9), status(true, 1)]);
+    for message in [
         hello_of(&feed),
         Upstream { body: Some(UpstreamBody::Fetch(Fetch { have_revision: 0, workers: false })) },
     ] {
-        let outputs = older.handle(1_000_000, RelayInput::Feed(FeedId(1), question));
+        let outputs = older.handle(1_000_000, RelayInput::Feed(FeedId(1), message));
         deliver(&mut older, FeedId(1), &mut feed, outputs);
     }
     expect_that!((feed.state().revision(), feed.state().confirmed()), eq(held));
@@ -262,10 +270,10 @@
 }
 
 #[gtest]
-fn a_change_that_builds_on_another_revision_is_asked_for_whole_and_changes_nothing() {
+fn a_delta_for_another_revision_is_rejected_and_the_full_configuration_is_fetched() {
     let mut feed = FeedState::new("edge-1", "north");
-    feed.receive(1_000_000, whole(1));
-    let received = feed.receive(1_000_000, change(2, 3));
+    feed.receive(1_000_000, full_configuration(1));
+    let received = feed.receive(1_000_000, delta(2, 3));
     expect_that!(feed.state().revision(), eq(1));
     let fetch = Upstream { body: Some(UpstreamBody::Fetch(Fetch { have_revision: 0, workers: false })) };
     expect_that!(received.answers, elements_are![eq(&fetch)]);
--- a/crates/distribution/tests/loads.rs
+++ b/crates/distribution/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Load told as changes: what the hearer holds against what is so, and how much a message holds.
+//! Load deltas: accuracy of the values at the receiver and size of the messages.
 
 use googletest::prelude::*;
 use prost::Message;
@@ -7,29 +7,29 @@
 };
 use switchhill_protocol::{ModelDemand, RouteAdmission, Summary, WorkerLoad};
 
-/// Bytes of the largest change: ids of 40 bytes, names of 20.
-const LARGEST_CHANGE: usize = 12_000;
+/// Maximum encoded size of a delta in bytes, for ids of 40 bytes and names of 20.
+const MAX_DELTA_BYTES: usize = 12_000;
 
-/// A fleet whose figures drift.
-struct Drift {
-    random: fastrand::Rng,
+/// Fleet with randomly changing load.
+struct Fleet {
+    rng: fastrand::Rng,
     present: LoadTable,
     workers: usize,
 }
 
-impl Drift {
-    fn new(workers: usize, seed: u64) -> Drift {
-        Drift { random: fastrand::Rng::with_seed(seed), present: LoadTable::default(), workers }
+impl Fleet {
+    fn new(workers: usize, seed: u64) -> Fleet {
+        Fleet { rng: fastrand::Rng::with_seed(seed), present: LoadTable::default(), workers }
     }
 
-    /// Moves a part of all figures; entries begin and end.
-    fn step(&mut self, moved: usize) {
+    /// Changes `count` random entries; entries appear and disappear.
+    fn step(&mut self, count: usize) {
         let mut changes = Summary { delta: true, ..Summary::default() };
-        for _ in 0..moved {
-            let number = self.random.usize(0..self.workers);
-            changes.loads.push(load(number, self.random.u32(0..20)));
-            changes.demand.push(demand(number, self.random.u32(0..6), self.random.f64()));
-            let rate = f64::from(self.random.u32(0..50));
+        for _ in 0..count {
+            let number = self.rng.usize(0..self.workers);
+            changes.loads.push(load(number, self.rng.u32(0..20)));
+            changes.demand.push(demand(number, self.rng.u32(0..6), self.rng.f64()));
+            let rate = f64::from(self.rng.u32(0..50));
             changes.admission.push(RouteAdmission {
                 route: format!("route-{}", number % 40),
                 admitted_per_s: rate,
@@ -57,103 +57,103 @@
 }
 
 #[gtest]
-fn a_hearer_of_all_changes_holds_what_was_told() {
+fn a_receiver_of_all_deltas_holds_the_sent_values() {
     for seed in 0..30 {
-        let mut drift = Drift::new(300, seed);
-        let (mut teller, mut hearer) = (LoadDeltaEncoder::default(), LoadTable::default());
-        hearer.apply(&teller.full_summary(&drift.present));
+        let mut fleet = Fleet::new(300, seed);
+        let (mut encoder, mut receiver) = (LoadDeltaEncoder::default(), LoadTable::default());
+        receiver.apply(&encoder.full_summary(&fleet.present));
         for step in 0..40 {
-            drift.step(20);
-            hearer.apply(&teller.delta_summary(&drift.present));
-            expect_that!(hearer, eq(teller.sent()), "seed {seed}, step {step}");
+            fleet.step(20);
+            receiver.apply(&encoder.delta_summary(&fleet.present));
+            expect_that!(receiver, eq(encoder.sent()), "seed {seed}, step {step}");
         }
     }
 }
 
 #[gtest]
-fn loads_within_the_bound_are_exact() {
+fn loads_are_exact_if_all_workers_fit_into_a_delta() {
     for seed in 0..50 {
-        let mut drift = Drift::new(MAX_WORKERS_PER_DELTA, seed);
-        let (mut teller, mut hearer) = (LoadDeltaEncoder::default(), LoadTable::default());
+        let mut fleet = Fleet::new(MAX_WORKERS_PER_DELTA, seed);
+        let (mut encoder, mut receiver) = (LoadDeltaEncoder::default(), LoadTable::default());
         for step in 0..40 {
-            drift.step(30);
-            hearer.apply(&teller.delta_summary(&drift.present));
-            expect_that!(hearer.loads, eq(&drift.present.loads), "seed {seed}, step {step}");
+            fleet.step(30);
+            receiver.apply(&encoder.delta_summary(&fleet.present));
+            expect_that!(receiver.loads, eq(&fleet.present.loads), "seed {seed}, step {step}");
         }
     }
 }
 
 #[gtest]
-fn what_stands_still_is_told_within_the_rounds_that_its_size_takes() {
+fn constant_loads_are_sent_within_the_minimum_number_of_rounds() {
     for seed in 0..10 {
-        let mut drift = Drift::new(940, seed);
-        drift.step(4_000);
-        let (mut teller, mut hearer) = (LoadDeltaEncoder::default(), LoadTable::default());
+        let mut fleet = Fleet::new(940, seed);
+        fleet.step(4_000);
+        let (mut encoder, mut receiver) = (LoadDeltaEncoder::default(), LoadTable::default());
         for _ in 0..940_usize.div_ceil(MAX_WORKERS_PER_DELTA) {
-            hearer.apply(&teller.delta_summary(&drift.present));
+            receiver.apply(&encoder.delta_summary(&fleet.present));
         }
-        expect_that!(hearer.loads, eq(&drift.present.loads), "seed {seed}");
-        expect_that!(hearer.admission.len(), eq(drift.present.admission.len()), "seed {seed}");
+        expect_that!(receiver.loads, eq(&fleet.present.loads), "seed {seed}");
+        expect_that!(receiver.admission.len(), eq(fleet.present.admission.len()), "seed {seed}");
     }
 }
 
 #[gtest]
-fn a_small_difference_is_not_passed_over_for_ever() {
-    // All but one worker change by much in each round; the last stays one request off.
-    let mut teller = LoadDeltaEncoder::default();
+fn a_small_change_is_not_deferred_indefinitely() {
+    // All workers but one change by a large amount in each round; the sent value of the last is off by one request.
+    let mut encoder = LoadDeltaEncoder::default();
     let mut present = LoadTable::default();
     let quiet = load(900, 41);
     present.apply(&Summary { loads: vec![load(900, 40)], ..Summary::default() });
-    teller.full_summary(&present);
+    encoder.full_summary(&present);
     for round in 0..400 {
         let busy = (0..800).map(|number| load(number, if round % 2 == 0 { 2 } else { 18 }));
         let loads = busy.chain([quiet.clone()]).collect();
         present.apply(&Summary { loads, delta: true, ..Summary::default() });
-        if teller.delta_summary(&present).loads.contains(&quiet) {
+        if encoder.delta_summary(&present).loads.contains(&quiet) {
             return;
         }
     }
-    panic!("the quiet worker was not told in 400 rounds");
+    panic!("the quiet worker was not sent within 400 rounds");
 }
 
 #[gtest]
-fn a_change_is_bounded_whatever_the_fleet() {
+fn delta_size_is_bounded_for_any_fleet_size() {
     for workers in [100, 1_000, 3_000] {
-        let mut drift = Drift::new(workers, 1);
-        let mut teller = LoadDeltaEncoder::default();
+        let mut fleet = Fleet::new(workers, 1);
+        let mut encoder = LoadDeltaEncoder::default();
         for step in 0..20 {
-            drift.step(3 * workers);
-            let change = teller.delta_summary(&drift.present);
-            expect_that!(change.loads.len(), le(MAX_WORKERS_PER_DELTA), "{workers} workers, step {step}");
-            expect_that!(change.demand.len(), le(MAX_DEMANDS_PER_DELTA), "{workers} workers, step {step}");
-            expect_that!(change.admission.len(), le(MAX_ROUTES_PER_DELTA), "{workers} workers, step {step}");
-            expect_that!(change.encoded_len(), le(LARGEST_CHANGE), "{workers} workers, step {step}");
+            fleet.step(3 * workers);
+            let delta = encoder.delta_summary(&fleet.present);
+            expect_that!(delta.loads.len(), le(MAX_WORKERS_PER_DELTA), "{workers} workers, step {step}");
+            expect_that!(delta.demand.len(), le(MAX_DEMANDS_PER_DELTA), "{workers} workers, step {step}");
+            expect_that!(delta.admission.len(), le(MAX_ROUTES_PER_DELTA), "{workers} workers, step {step}");
+            expect_that!(delta.encoded_len(), le(MAX_DELTA_BYTES), "{workers} workers, step {step}");
         }
     }
 }
 
 #[gtest]
-fn a_whole_list_mends_whatever_was_missed() {
-    let mut drift = Drift::new(200, 3);
-    let (mut teller, mut hearer) = (LoadDeltaEncoder::default(), LoadTable::default());
+fn a_full_summary_repairs_lost_deltas() {
+    let mut fleet = Fleet::new(200, 3);
+    let (mut encoder, mut receiver) = (LoadDeltaEncoder::default(), LoadTable::default());
     for step in 0..60 {
-        drift.step(40);
-        let told = match step % 8 {
-            0 => teller.full_summary(&drift.present),
-            _ => teller.delta_summary(&drift.present),
+        fleet.step(40);
+        let summary = match step % 8 {
+            0 => encoder.full_summary(&fleet.present),
+            _ => encoder.delta_summary(&fleet.present),
         };
-        // Half of the changes are lost.
+        // Every second message is lost.
         if step % 2 == 0 {
-            hearer.apply(&told);
+            receiver.apply(&summary);
         }
         if step % 8 == 0 {
-            expect_that!(hearer, eq(&drift.present), "step {step}");
+            expect_that!(receiver, eq(&fleet.present), "step {step}");
         }
     }
 }
 
 #[gtest]
-fn sums_of_tables_are_those_of_their_entries() {
+fn adding_tables_adds_their_entries() {
     let table = |outstanding| {
         let mut table = LoadTable::default();
         let loads = vec![load(1, outstanding)];
--- a/crates/distribution/tests/relay.rs
+++ b/crates/distribution/tests/relay.rs
@@ -1,4 +1,4 @@
-//! What an agent takes up, and what it tells its data plane of it.
+//! Configuration and status: what an agent accepts and what it forwards to its data plane.
 
 use googletest::prelude::*;
 use switchhill_distribution::{FeedId, FeedState, LinkId, LinkSettings, Relay, RelayInput, RelayOutput};
@@ -25,17 +25,17 @@
     }))
 }
 
-/// An agent with a data plane, in virtual time.
+/// An agent with a data plane, in simulated time.
 struct Agent {
     now: u64,
     relay: Relay,
     feed: FeedState,
     links: Vec<LinkId>,
     closed: Vec<LinkId>,
-    /// Links on which it said hello, with the revision that it named.
+    /// Hello messages sent by the agent, as link and revision.
     hellos: Vec<(LinkId, u64)>,
-    /// Whether it told the data plane last that a quorum stands behind it.
-    told_quorum: Option<bool>,
+    /// Quorum flag of the last status sent to the data plane.
+    sent_quorum: Option<bool>,
 }
 
 impl Agent {
@@ -49,7 +49,7 @@
             links: Vec::new(),
             closed: Vec::new(),
             hellos: Vec::new(),
-            told_quorum: None,
+            sent_quorum: None,
         };
         agent.start_data_plane();
         agent.tick(50);
@@ -71,7 +71,7 @@
         self.input(RelayInput::Tick);
     }
 
-    fn hears(&mut self, link: LinkId, message: Downstream) {
+    fn receive(&mut self, link: LinkId, message: Downstream) {
         self.input(RelayInput::Link(link, message));
     }
 
@@ -82,7 +82,7 @@
                 RelayOutput::Close(link) => self.closed.push(link),
                 RelayOutput::ToFeed(_, message) => {
                     if let Some(DownstreamBody::Status(status)) = &message.body {
-                        self.told_quorum = Some(status.quorum);
+                        self.sent_quorum = Some(status.quorum);
                     }
                     self.feed.receive(self.now, message);
                 }
@@ -94,7 +94,7 @@
         }
     }
 
-    fn holds(&self) -> (u64, u64) {
+    fn revisions(&self) -> (u64, u64) {
         (self.relay.state().revision(), self.feed.state().revision())
     }
 
@@ -104,63 +104,63 @@
 }
 
 #[gtest]
-fn confirmed_configuration_is_taken_up_and_makes_the_data_plane_ready() {
+fn confirmed_configuration_is_applied_and_makes_the_data_plane_ready() {
     let mut agent = Agent::new();
     let link = agent.links[0];
-    agent.hears(link, status(true, 5));
-    agent.hears(link, configuration(5, true));
-    expect_that!((agent.holds(), agent.is_ready()), eq(((5, 5), true)));
+    agent.receive(link, status(true, 5));
+    agent.receive(link, configuration(5, true));
+    expect_that!((agent.revisions(), agent.is_ready()), eq(((5, 5), true)));
 }
 
 #[gtest]
-fn configuration_without_a_quorum_behind_it_is_not_taken_up() {
+fn configuration_without_quorum_is_not_applied() {
     let mut agent = Agent::new();
     let link = agent.links[0];
-    agent.hears(link, status(false, 5));
-    agent.hears(link, configuration(5, false));
-    expect_that!((agent.holds(), agent.is_ready()), eq(((0, 0), false)));
+    agent.receive(link, status(false, 5));
+    agent.receive(link, configuration(5, false));
+    expect_that!((agent.revisions(), agent.is_ready()), eq(((0, 0), false)));
 }
 
 #[gtest]
-fn word_of_a_link_that_was_given_up_does_not_count() {
+fn messages_on_a_closed_link_are_ignored() {
     let mut agent = Agent::new();
     let link = agent.links[0];
-    agent.hears(link, status(true, 5));
+    agent.receive(link, status(true, 5));
     for _ in 0..20 {
         agent.tick(50);
     }
     expect_that!(agent.closed, contains(eq(&link)));
-    agent.hears(link, status(true, 5));
-    agent.hears(link, configuration(5, true));
-    expect_that!((agent.holds(), agent.is_ready()), eq(((0, 0), false)));
+    agent.receive(link, status(true, 5));
+    agent.receive(link, configuration(5, true));
+    expect_that!((agent.revisions(), agent.is_ready()), eq(((0, 0), false)));
 }
 
 #[gtest]
-fn word_that_waited_while_the_agent_stood_still_does_not_count() {
+fn messages_queued_while_the_agent_was_paused_are_ignored() {
     let mut agent = Agent::new();
     let link = agent.links[0];
     agent.now += 20_000;
-    agent.hears(link, status(true, 5));
-    agent.hears(link, configuration(5, true));
-    expect_that!((agent.holds(), agent.is_ready()), eq(((0, 0), false)));
+    agent.receive(link, status(true, 5));
+    agent.receive(link, configuration(5, true));
+    expect_that!((agent.revisions(), agent.is_ready()), eq(((0, 0), false)));
     expect_that!(agent.closed, contains(eq(&link)));
 }
 
 #[gtest]
-fn data_plane_started_while_the_agent_is_out_of_contact_is_not_ready() {
+fn data_plane_started_while_the_agent_has_no_quorum_contact_is_not_ready() {
     let mut agent = Agent::new();
     let link = agent.links[0];
-    agent.hears(link, status(true, 5));
-    agent.hears(link, configuration(5, true));
-    agent.hears(link, status(false, 5));
+    agent.receive(link, status(true, 5));
+    agent.receive(link, configuration(5, true));
+    agent.receive(link, status(false, 5));
     agent.start_data_plane();
     for _ in 0..40 {
         agent.tick(50);
     }
-    expect_that!((agent.holds(), agent.is_ready()), eq(((5, 5), false)));
+    expect_that!((agent.revisions(), agent.is_ready()), eq(((5, 5), false)));
     let link = *agent.links.last().expect("a link");
     agent.input(RelayInput::LinkUp(link));
-    agent.hears(link, status(true, 5));
+    agent.receive(link, status(true, 5));
     agent.tick(500);
     expect_true!(agent.is_ready());
 }
@@ -169,29 +169,29 @@
 fn older_configuration_never_replaces_a_newer_one() {
     let mut agent = Agent::new();
     let links = agent.links.clone();
-    agent.hears(links[0], status(true, 7));
-    agent.hears(links[0], configuration(7, true));
-    agent.hears(links[1], status(true, 5));
-    agent.hears(links[1], configuration(5, true));
-    expect_that!((agent.holds(), agent.is_ready()), eq(((7, 7), true)));
+    agent.receive(links[0], status(true, 7));
+    agent.receive(links[0], configuration(7, true));
+    agent.receive(links[1], status(true, 5));
+    agent.receive(links[1], configuration(5, true));
+    expect_that!((agent.revisions(), agent.is_ready()), eq(((7, 7), true)));
 }
 
 #[gtest]
-fn a_link_that_was_reset_is_out_of_touch_and_the_next_one_brings_what_was_dropped() {
+fn a_reset_link_clears_the_quorum_flag_and_the_next_link_delivers_the_dropped_revision() {
     let mut agent = Agent::new();
     let link = agent.links[0];
-    agent.hears(link, status(true, 5));
-    agent.hears(link, configuration(5, true));
-    // The core node drops revision 6 with the connection: it waited too long.
+    agent.receive(link, status(true, 5));
+    agent.receive(link, configuration(5, true));
+    // The core node closed the connection because revision 6 was queued for too long, and dropped the revision.
     agent.input(RelayInput::LinkLost(link));
     agent.tick(500);
-    expect_that!(agent.told_quorum, some(eq(false)));
+    expect_that!(agent.sent_quorum, some(eq(false)));
     let next = *agent.links.last().expect("a link");
     expect_that!(next, not(eq(link)));
     agent.input(RelayInput::LinkUp(next));
     expect_that!(agent.hellos.last(), some(eq(&(next, 5))));
-    agent.hears(next, status(true, 6));
-    agent.hears(next, configuration(6, true));
+    agent.receive(next, status(true, 6));
+    agent.receive(next, configuration(6, true));
     agent.tick(500);
-    expect_that!((agent.holds(), agent.told_quorum), eq(((6, 6), Some(true))));
+    expect_that!((agent.revisions(), agent.sent_quorum), eq(((6, 6), Some(true))));
 }
--- a/crates/distribution/tests/relay_loads.rs
+++ b/crates/distribution/tests/relay_loads.rs
@@ -1,4 +1,4 @@
-//! What an agent makes of load: from its home to data planes, and from a data plane to its home.
+//! Load forwarding by an agent: from the home to data planes, and from data planes to the home.
 
 use googletest::prelude::*;
 use switchhill_distribution::{FeedId, LinkId, LinkSettings, LoadTable, Relay, RelayInput, RelayOutput};
@@ -14,8 +14,8 @@
     now: u64,
     links: Vec<LinkId>,
     hellos: Vec<(LinkId, bool)>,
-    told_data_plane: Vec<Loads>,
-    told_home: Vec<(LinkId, Summary)>,
+    sent_to_data_planes: Vec<Loads>,
+    sent_to_home: Vec<(LinkId, Summary)>,
 }
 
 impl Agent {
@@ -27,8 +27,8 @@
             now: 0,
             links: Vec::new(),
             hellos: Vec::new(),
-            told_data_plane: Vec::new(),
-            told_home: Vec::new(),
+            sent_to_data_planes: Vec::new(),
+            sent_to_home: Vec::new(),
         };
         agent.input(RelayInput::Tick);
         for link in agent.links.clone() {
@@ -36,7 +36,7 @@
             agent.status(link, true);
         }
         agent.input(RelayInput::Tick);
-        agent.feed_up(FEED);
+        agent.connect_feed(FEED);
         agent
     }
 
@@ -44,10 +44,10 @@
         for output in self.relay.handle(self.now, input) {
             match output {
                 RelayOutput::Connect(link, _) => self.links.push(link),
-                RelayOutput::ToLink(link, message) => self.sent_on(link, message),
+                RelayOutput::ToLink(link, message) => self.record_sent(link, message),
                 RelayOutput::ToFeed(_, message) => {
                     if let Some(DownstreamBody::Loads(loads)) = message.body {
-                        self.told_data_plane.push(loads);
+                        self.sent_to_data_planes.push(loads);
                     }
                 }
                 RelayOutput::Close(_) => {}
@@ -55,34 +55,35 @@
         }
     }
 
-    fn sent_on(&mut self, link: LinkId, message: Upstream) {
+    fn record_sent(&mut self, link: LinkId, message: Upstream) {
         match message.body {
             Some(UpstreamBody::Hello(hello)) => self.hellos.push((link, hello.home)),
-            Some(UpstreamBody::Summary(summary)) => self.told_home.push((link, summary)),
+            Some(UpstreamBody::Summary(summary)) => self.sent_to_home.push((link, summary)),
             _ => {}
         }
     }
 
     fn status(&mut self, link: LinkId, quorum: bool) {
         let status = Status { quorum, warm: true, ..Status::default() };
-        self.down(link, DownstreamBody::Status(status));
+        self.receive_downstream(link, DownstreamBody::Status(status));
     }
 
-    fn down(&mut self, link: LinkId, body: DownstreamBody) {
+    fn receive_downstream(&mut self, link: LinkId, body: DownstreamBody) {
         self.input(RelayInput::Link(link, Downstream { body: Some(body) }));
     }
 
-    fn feed_up(&mut self, feed: FeedId) {
-        self.up(feed, UpstreamBody::Hello(Hello { home: true, ..Hello::default() }));
+    fn connect_feed(&mut self, feed: FeedId) {
+        self.receive_upstream(feed, UpstreamBody::Hello(Hello { home: true, ..Hello::default() }));
     }
 
-    fn up(&mut self, feed: FeedId, body: UpstreamBody) {
+    fn receive_upstream(&mut self, feed: FeedId, body: UpstreamBody) {
         self.input(RelayInput::Feed(feed, Upstream { body: Some(body) }));
     }
 
     fn home(&self) -> LinkId {
-        let last = |link: &LinkId| self.hellos.iter().rev().find(|(of, _)| of == link).map(|(_, home)| *home);
-        *self.links.iter().find(|link| last(link) == Some(true)).expect("a home")
+        let latest =
+            |link: &LinkId| self.hellos.iter().rev().find(|(of, _)| of == link).map(|(_, home)| *home);
+        *self.links.iter().find(|link| latest(link) == Some(true)).expect("a home")
     }
 
     fn other(&self) -> LinkId {
@@ -108,98 +109,98 @@
 }
 
 #[gtest]
-fn loads_of_the_home_alone_are_passed_on() {
+fn only_loads_from_the_home_are_forwarded() {
     let mut agent = Agent::new();
     let (home, other) = (agent.home(), agent.other());
-    agent.down(other, DownstreamBody::Loads(loads(&[("a", 9)], false, 1)));
-    expect_that!(agent.told_data_plane, is_empty());
-    agent.down(home, DownstreamBody::Loads(loads(&[("a", 3)], false, 1)));
-    expect_that!(agent.told_data_plane.len(), eq(1));
+    agent.receive_downstream(other, DownstreamBody::Loads(loads(&[("a", 9)], false, 1)));
+    expect_that!(agent.sent_to_data_planes, is_empty());
+    agent.receive_downstream(home, DownstreamBody::Loads(loads(&[("a", 3)], false, 1)));
+    expect_that!(agent.sent_to_data_planes.len(), eq(1));
 }
 
 #[gtest]
-fn a_change_that_fits_nothing_is_left_out_and_all_is_asked_for() {
+fn a_delta_out_of_sequence_is_dropped_and_the_full_load_is_requested() {
     let mut agent = Agent::new();
     let home = agent.home();
-    agent.down(home, DownstreamBody::Loads(loads(&[("a", 3)], false, 5)));
-    agent.down(home, DownstreamBody::Loads(loads(&[("a", 4)], true, 6)));
+    agent.receive_downstream(home, DownstreamBody::Loads(loads(&[("a", 3)], false, 5)));
+    agent.receive_downstream(home, DownstreamBody::Loads(loads(&[("a", 4)], true, 6)));
     agent.hellos.clear();
-    agent.down(home, DownstreamBody::Loads(loads(&[("a", 5)], true, 8)));
-    expect_that!(agent.told_data_plane.len(), eq(2));
+    agent.receive_downstream(home, DownstreamBody::Loads(loads(&[("a", 5)], true, 8)));
+    expect_that!(agent.sent_to_data_planes.len(), eq(2));
     expect_that!(agent.hellos, elements_are![eq(&(home, false)), eq(&(home, true))]);
-    // A change that follows is left out as well, until all has come.
-    agent.down(home, DownstreamBody::Loads(loads(&[("a", 6)], true, 9)));
-    expect_that!(agent.told_data_plane.len(), eq(2));
-    agent.down(home, DownstreamBody::Loads(loads(&[("a", 7)], false, 10)));
-    expect_that!(agent.told_data_plane.len(), eq(3));
+    // Later deltas are dropped too, until the full load arrives.
+    agent.receive_downstream(home, DownstreamBody::Loads(loads(&[("a", 6)], true, 9)));
+    expect_that!(agent.sent_to_data_planes.len(), eq(2));
+    agent.receive_downstream(home, DownstreamBody::Loads(loads(&[("a", 7)], false, 10)));
+    expect_that!(agent.sent_to_data_planes.len(), eq(3));
 }
 
 #[gtest]
-fn a_new_data_plane_is_told_all() {
+fn a_new_data_plane_receives_the_full_load() {
     let mut agent = Agent::new();
     let home = agent.home();
-    agent.down(home, DownstreamBody::Loads(loads(&[("a", 3), ("b", 1)], false, 5)));
-    agent.down(home, DownstreamBody::Loads(loads(&[("a", 4), ("b", 0)], true, 6)));
-    agent.told_data_plane.clear();
-    agent.feed_up(FeedId(2));
-    expect_that!(agent.told_data_plane, elements_are![eq(&loads(&[("a", 4)], false, 6))]);
+    agent.receive_downstream(home, DownstreamBody::Loads(loads(&[("a", 3), ("b", 1)], false, 5)));
+    agent.receive_downstream(home, DownstreamBody::Loads(loads(&[("a", 4), ("b", 0)], true, 6)));
+    agent.sent_to_data_planes.clear();
+    agent.connect_feed(FeedId(2));
+    expect_that!(agent.sent_to_data_planes, elements_are![eq(&loads(&[("a", 4)], false, 6))]);
 }
 
 #[gtest]
-fn a_home_is_told_all_and_then_changes() {
+fn the_home_receives_the_full_load_and_then_deltas() {
     let mut agent = Agent::new();
     let home = agent.home();
-    agent.up(FEED, UpstreamBody::Summary(summary(&[("a", 3), ("b", 1)], false)));
-    agent.up(FEED, UpstreamBody::Summary(summary(&[("b", 2)], true)));
-    let told: Vec<Summary> = agent.told_home.iter().map(|(_, summary)| summary.clone()).collect();
+    agent.receive_upstream(FEED, UpstreamBody::Summary(summary(&[("a", 3), ("b", 1)], false)));
+    agent.receive_upstream(FEED, UpstreamBody::Summary(summary(&[("b", 2)], true)));
+    let sent: Vec<Summary> = agent.sent_to_home.iter().map(|(_, summary)| summary.clone()).collect();
     expect_that!(
-        told,
+        sent,
         elements_are![eq(&summary(&[("a", 3), ("b", 1)], false)), eq(&summary(&[("b", 2)], true))]
     );
-    expect_true!(agent.told_home.iter().all(|(link, _)| *link == home));
+    expect_true!(agent.sent_to_home.iter().all(|(link, _)| *link == home));
 }
 
 #[gtest]
-fn a_new_home_is_told_all() {
+fn a_new_home_receives_the_full_load() {
     let mut agent = Agent::new();
     let (home, other) = (agent.home(), agent.other());
-    agent.up(FEED, UpstreamBody::Summary(summary(&[("a", 3), ("b", 1)], false)));
+    agent.receive_upstream(FEED, UpstreamBody::Summary(summary(&[("a", 3), ("b", 1)], false)));
     agent.status(home, false);
     agent.input(RelayInput::Tick);
     expect_that!(agent.home(), eq(other));
-    agent.told_home.clear();
-    agent.up(FEED, UpstreamBody::Summary(summary(&[("b", 2)], true)));
-    expect_that!(agent.told_home, elements_are![eq(&(other, summary(&[("a", 3), ("b", 2)], false)))]);
+    agent.sent_to_home.clear();
+    agent.receive_upstream(FEED, UpstreamBody::Summary(summary(&[("b", 2)], true)));
+    expect_that!(agent.sent_to_home, elements_are![eq(&(other, summary(&[("a", 3), ("b", 2)], false)))]);
 }
 
 #[gtest]
-fn the_load_of_a_data_plane_that_has_gone_is_not_told_on() {
+fn the_load_of_a_disconnected_data_plane_is_not_forwarded() {
     let mut agent = Agent::new();
     let home = agent.home();
-    agent.up(FEED, UpstreamBody::Summary(summary(&[("a", 3)], false)));
-    agent.feed_up(FeedId(2));
-    agent.up(FeedId(2), UpstreamBody::Summary(summary(&[("b", 1)], false)));
-    agent.up(FEED, UpstreamBody::Summary(summary(&[("a", 2)], true)));
-    expect_that!(agent.told_home.last(), some(eq(&(home, summary(&[("a", 2), ("b", 1)], false)))));
+    agent.receive_upstream(FEED, UpstreamBody::Summary(summary(&[("a", 3)], false)));
+    agent.connect_feed(FeedId(2));
+    agent.receive_upstream(FeedId(2), UpstreamBody::Summary(summary(&[("b", 1)], false)));
+    agent.receive_upstream(FEED, UpstreamBody::Summary(summary(&[("a", 2)], true)));
+    expect_that!(agent.sent_to_home.last(), some(eq(&(home, summary(&[("a", 2), ("b", 1)], false)))));
     agent.input(RelayInput::FeedGone(FEED));
-    agent.up(FeedId(2), UpstreamBody::Summary(summary(&[("b", 4)], true)));
-    expect_that!(agent.told_home.last(), some(eq(&(home, summary(&[("b", 4)], false)))));
+    agent.receive_upstream(FeedId(2), UpstreamBody::Summary(summary(&[("b", 4)], true)));
+    expect_that!(agent.sent_to_home.last(), some(eq(&(home, summary(&[("b", 4)], false)))));
 }
 
 #[gtest]
-fn changes_passed_on_add_up_to_the_home_s_list() {
+fn forwarded_deltas_reproduce_the_load_of_the_home() {
     for seed in 0..50 {
-        let mut random = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let mut agent = Agent::new();
         let home = agent.home();
-        let (mut home_holds, mut data_plane_holds) = (LoadTable::default(), LoadTable::default());
+        let (mut home_table, mut data_plane_table) = (LoadTable::default(), LoadTable::default());
         for sequence in 1..60 {
-            let name = format!("w{}", random.u32(0..9));
-            let told = loads(&[(name.as_str(), random.u32(0..4))], sequence > 1, sequence);
-            home_holds.apply_fleet(&told);
-            agent.down(home, DownstreamBody::Loads(told));
-            agent.told_data_plane.drain(..).for_each(|told| data_plane_holds.apply_fleet(&told));
-            expect_that!(data_plane_holds, eq(&home_holds), "seed {seed}, message {sequence}");
+            let name = format!("w{}", rng.u32(0..9));
+            let message = loads(&[(name.as_str(), rng.u32(0..4))], sequence > 1, sequence);
+            home_table.apply_fleet(&message);
+            agent.receive_downstream(home, DownstreamBody::Loads(message));
+            agent.sent_to_data_planes.drain(..).for_each(|message| data_plane_table.apply_fleet(&message));
+            expect_that!(data_plane_table, eq(&home_table), "seed {seed}, message {sequence}");
         }
     }
 }
