--- a/crates/control/src/load.rs
+++ b/crates/control/src/load.rs
@@ -6,7 +6,7 @@
 use crate::input::SubscriberId;
 use crate::node::ControlNode;
 use std::collections::BTreeMap;
-use switchhill_distribution::{LoadTable, LoadTeller};
+use switchhill_distribution::{LoadDeltaEncoder, LoadTable};
 use switchhill_protocol::{Downstream, DownstreamBody, LoadSummary, Loads, PeerBody};
 
 /// Interval in milliseconds between two summaries.
@@ -35,10 +35,10 @@
 pub(crate) struct FleetLoad {
     peers: BTreeMap<u64, PeerLoad>,
     /// Load last sent to the other core nodes, and the sequence number of the next message to them.
-    sent_to_peers: LoadTeller,
+    sent_to_peers: LoadDeltaEncoder,
     peer_sequence: u64,
     /// Load last sent to the home subscribers, and the sequence number of that message.
-    sent_to_homes: LoadTeller,
+    sent_to_homes: LoadDeltaEncoder,
     home_sequence: u64,
     peer_gatekeepers: BTreeMap<u64, (u64, u32)>,
     next_summary_at: u64,
@@ -69,8 +69,8 @@
         let sequence = self.peer_sequence;
         self.peer_sequence += 1;
         let summary = match sequence % FULL_REPORT_PERIOD {
-            0 => self.sent_to_peers.tell_whole(own),
-            _ => self.sent_to_peers.tell_changes(own),
+            0 => self.sent_to_peers.full_summary(own),
+            _ => self.sent_to_peers.delta_summary(own),
         };
         LoadSummary { summary: Some(summary), sequence }
     }
@@ -127,7 +127,7 @@
 
     /// Sends the changes to home subscribers that have the complete load, and the complete load to the others.
     fn send_loads_to_homes(&mut self, total: &LoadTable) {
-        let summary = self.load.sent_to_homes.tell_changes(total);
+        let summary = self.load.sent_to_homes.delta_summary(total);
         self.load.home_sequence += 1;
         let sequence = self.load.home_sequence;
         let changes = Loads { loads: summary.loads, admission: summary.admission, delta: true, sequence };
@@ -136,7 +136,7 @@
             self.subscribers.start_load_updates().into_iter().partition(|(_, is_new)| *is_new);
         let ids = |homes: Vec<(SubscriberId, bool)>| homes.into_iter().map(|(id, _)| id).collect();
         if !new.is_empty() {
-            let whole = self.load.sent_to_homes.told().whole_fleet(sequence);
+            let whole = self.load.sent_to_homes.sent().to_loads(sequence);
             self.send_subscribers(ids(new), message(whole));
         }
         self.send_subscribers(ids(old), message(changes));
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -15,7 +15,7 @@
 use switchhill_distribution::MergedState;
 use switchhill_membership::{ContactSettings, Contacts};
 use switchhill_register::{Member, Output as RegisterOutput, Record, Replica, ReplicaId};
-use switchhill_registration::SuspectAfter;
+use switchhill_registration::SuspicionTimeout;
 
 /// Silence of a worker after which it is suspected, in tenths of its heartbeat interval.
 const SUSPECT_AFTER_TENTHS: u64 = 26;
@@ -71,7 +71,7 @@
             contacts: Contacts::new(settings.replica_id, settings.incarnation, ContactSettings::default()),
             replica,
             control: ControlState::default(),
-            state: MergedState::new(SuspectAfter(suspect_after)),
+            state: MergedState::new(SuspicionTimeout(suspect_after)),
             jobs: Jobs::default(),
             subscribers: Subscribers::default(),
             announcements: Announcements::default(),
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -7,7 +7,7 @@
 use switchhill_distribution::Change;
 use switchhill_protocol::{HeardWorker, PeerBody, WorkerUpdate, WorkerUpdateAck, WorkersHeard};
 use switchhill_register::ReplicaId;
-use switchhill_registration::{HeardBeat, HeardOutcome, Heartbeat, Merge, Worker, WorkerState};
+use switchhill_registration::{DigestOutcome, Heartbeat, HeartbeatDigest, MergeOutcome, Worker, WorkerState};
 
 /// Time limit in milliseconds for a majority to confirm a worker's draining or termination before the call fails.
 const MAJORITY_TIMEOUT_MS: u64 = 700;
@@ -97,7 +97,7 @@
 
     /// Handles the deregistration of a worker.
     pub(crate) fn worker_deregistered(&mut self, now: u64, call: CallId, id: &str) {
-        let entry = self.state.workers_mut().end(now, id);
+        let entry = self.state.workers_mut().mark_gone(now, id);
         self.publish_workers(now, vec![entry.clone()]);
         self.answer_after_majority(now, call, entry);
     }
@@ -159,9 +159,9 @@
     fn apply_heartbeat(&mut self, now: u64, worker: Worker) {
         let id = worker.id.clone();
         let before = self.state.workers().get(&id).cloned();
-        let outcome = self.state.workers_mut().beat(now, worker);
+        let outcome = self.state.workers_mut().record_heartbeat(now, worker);
         let mut changed = outcome.displaced;
-        if outcome.merge == Merge::Changed {
+        if outcome.merge == MergeOutcome::Changed {
             let current = self.state.workers().get(&id).cloned();
             match current {
                 Some(current) if differs_only_in_models(before.as_ref(), &current) => {
@@ -220,10 +220,15 @@
     /// Records worker heartbeats that another core node received.
     pub(crate) fn peer_heard_workers(&mut self, now: u64, heard: &WorkersHeard) {
         for worker in &heard.workers {
-            let beat =
-                HeardBeat { id: worker.id.clone(), sequence: worker.sequence, material: worker.material };
+            let beat = HeartbeatDigest {
+                id: worker.id.clone(),
+                sequence: worker.sequence,
+                material_digest: worker.material,
+            };
             // A missing entry is added by the comparison of the tables.
-            if let HeardOutcome::Cleared(cleared) = self.state.workers_mut().heard(now, &beat) {
+            if let DigestOutcome::SuspicionCleared(cleared) =
+                self.state.workers_mut().apply_digest(now, &beat)
+            {
                 self.workers_changed(now, &Change::Workers(vec![*cleared]));
             }
         }
@@ -275,14 +280,17 @@
             return;
         }
         self.updates.next_heard_at = now + HEARD_INTERVAL_MS;
-        let heard = self.state.workers().heard_since(self.updates.heard_marker);
-        self.updates.heard_marker = heard.marker;
-        if heard.beats.is_empty() {
+        let heard = self.state.workers().heartbeats_since(self.updates.heard_marker);
+        self.updates.heard_marker = heard.cursor;
+        if heard.heartbeats.is_empty() {
             return;
         }
-        let message =
-            |beat: HeardBeat| HeardWorker { id: beat.id, sequence: beat.sequence, material: beat.material };
-        let workers = heard.beats.into_iter().map(message).collect();
+        let message = |beat: HeartbeatDigest| HeardWorker {
+            id: beat.id,
+            sequence: beat.sequence,
+            material: beat.material_digest,
+        };
+        let workers = heard.heartbeats.into_iter().map(message).collect();
         self.send_all_peers(now, PeerBody::WorkersHeard(WorkersHeard { workers }));
     }
 
