--- a/crates/control/src/electorate.rs
+++ b/crates/control/src/electorate.rs
@@ -75,7 +75,8 @@
             return true;
         }
         let others = || electorate.members.iter().map(|member| member.id).filter(|id| *id != me);
-        let told_to_end = |id: ReplicaId| self.contacts.get(id.0).is_some_and(|contact| contact.told.leaving);
+        let told_to_end =
+            |id: ReplicaId| self.contacts.get(id.0).is_some_and(|contact| contact.status.leaving);
         if others().all(told_to_end) {
             return true;
         }
@@ -92,7 +93,7 @@
     fn has_successor(&self, now: u64, electorate: &Electorate) -> bool {
         self.contacts.iter().any(|(id, contact)| {
             let votes = electorate.members.iter().any(|member| member.id.0 == id);
-            !votes && !contact.told.leaving && now < contact.heard_at + DROP_AFTER
+            !votes && !contact.status.leaving && now < contact.last_heard_at + DROP_AFTER
         })
     }
 
@@ -107,7 +108,7 @@
     fn acts_for_electorate(&self, now: u64, electorate: &Electorate) -> bool {
         let me = self.settings.replica;
         let able = |id: u64| {
-            let told = self.contacts.get(id).map(|contact| &contact.told);
+            let told = self.contacts.get(id).map(|contact| &contact.status);
             self.contacts.is_in_contact(now, id) && told.is_some_and(|told| told.in_quorum && !told.leaving)
         };
         let others = electorate.members.iter().map(|member| member.id.0).filter(|id| *id == me || able(*id));
@@ -136,10 +137,10 @@
             let heard = self.contacts.silent_for(now, id).is_some_and(|silent| silent < ADD_WITHIN);
             !known && heard && self.contacts.is_in_contact(now, id) && !leaving
         };
-        let contacts = self.contacts.iter().filter(|(id, contact)| joins(*id, contact.told.leaving));
+        let contacts = self.contacts.iter().filter(|(id, contact)| joins(*id, contact.status.leaving));
         let candidate = |id: u64, contact: &Contact| Candidate {
             member: Member { id: ReplicaId(id), address: contact.address.clone() },
-            zone: contact.told.zone.clone(),
+            zone: contact.status.zone.clone(),
             standing: Standing::Joining { is_new: self.is_new(now, contact) },
         };
         contacts.map(|(id, contact)| candidate(id, contact)).collect()
@@ -148,14 +149,14 @@
     /// Whether a node has only just appeared. A node that has itself just started can't tell, and at the start of the whole
     /// system all are new.
     fn is_new(&self, now: u64, contact: &Contact) -> bool {
-        now >= self.started_at + NEW_FOR && now < contact.heard_since + NEW_FOR
+        now >= self.started_at + NEW_FOR && now < contact.first_heard_at + NEW_FOR
     }
 
     fn zone_of(&self, id: ReplicaId) -> String {
         if id.0 == self.settings.replica {
             return self.settings.zone.clone();
         }
-        self.contacts.get(id.0).map_or_else(String::new, |contact| contact.told.zone.clone())
+        self.contacts.get(id.0).map_or_else(String::new, |contact| contact.status.zone.clone())
     }
 
     /// Zones of the core nodes at these addresses, if the loss of a zone is to be borne.
@@ -169,7 +170,7 @@
             }
             let mut contacts = self.contacts.iter();
             let contact = contacts.find(|(_, contact)| contact.address == *address);
-            contact.map_or_else(String::new, |(_, contact)| contact.told.zone.clone())
+            contact.map_or_else(String::new, |(_, contact)| contact.status.zone.clone())
         };
         addresses.iter().map(zone_at).collect()
     }
@@ -177,7 +178,7 @@
     fn standing(&self, now: u64, member: &Member, patience: u64) -> Standing {
         let leaving = match member.id.0 == self.settings.replica {
             true => self.leaving,
-            false => self.contacts.get(member.id.0).is_some_and(|contact| contact.told.leaving),
+            false => self.contacts.get(member.id.0).is_some_and(|contact| contact.status.leaving),
         };
         let silent_ms = self.silent_for(now, member);
         if self.is_replaced(member) {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -114,7 +114,7 @@
 
     /// Whether a quorum of the electorate was certain to hear this node a short time ago.
     pub fn has_quorum(&self, now: u64) -> bool {
-        self.has_quorum_within(now, self.contacts.settings().contact_for)
+        self.has_quorum_within(now, self.contacts.settings().contact_timeout_ms)
     }
 
     /// Whether a quorum of the electorate was certain to hear this node within a time in milliseconds.
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -3,7 +3,7 @@
 use crate::input::Output;
 use crate::node::ControlNode;
 use std::collections::BTreeSet;
-use switchhill_membership::{Heard, Told};
+use switchhill_membership::{PeerStatus, ReceivedHeartbeat};
 use switchhill_protocol::{Echo, PeerBody, PeerFrame, PeerHeartbeat, RegisterEnvelope};
 use switchhill_register::{Ballot, Body, Input, Message, ReplicaId};
 
@@ -80,8 +80,11 @@
         let committed = self.committed_ballot().unwrap_or(Ballot::NONE);
         let accepted = self.replica.accepted_ballot();
         let echoes = self.contacts.echoes();
-        let echoes =
-            echoes.map(|(from, contact)| Echo { from, life: contact.life, sequence: contact.sequence });
+        let echoes = echoes.map(|(from, contact)| Echo {
+            from,
+            life: contact.incarnation,
+            sequence: contact.sequence,
+        });
         let heartbeat = PeerHeartbeat {
             sequence,
             node: self.settings.node_name.clone(),
@@ -92,7 +95,7 @@
             warm: self.warm,
             home_gatekeepers: self.subscribers.home_count(),
             known: self.core_addresses().into_iter().collect(),
-            life: self.contacts.life(),
+            life: self.contacts.incarnation(),
             accepted_counter: accepted.counter,
             accepted_proposer: accepted.proposer.0,
             zone: self.settings.zone.clone(),
@@ -125,18 +128,23 @@
     }
 
     fn peer_heartbeat(&mut self, now: u64, from: u64, address: String, heartbeat: PeerHeartbeat) {
-        let mine = |echo: &&Echo| echo.from == self.settings.replica && echo.life == self.contacts.life();
+        let mine =
+            |echo: &&Echo| echo.from == self.settings.replica && echo.life == self.contacts.incarnation();
         let echo = heartbeat.echoes.iter().find(mine).map(|echo| echo.sequence);
-        let heard = Heard {
+        let heard = ReceivedHeartbeat {
             id: from,
             address: address.clone(),
             node: heartbeat.node,
-            life: heartbeat.life,
+            incarnation: heartbeat.life,
             sequence: heartbeat.sequence,
             echo,
-            told: Told { zone: heartbeat.zone, in_quorum: heartbeat.in_quorum, leaving: heartbeat.leaving },
+            status: PeerStatus {
+                zone: heartbeat.zone,
+                in_quorum: heartbeat.in_quorum,
+                leaving: heartbeat.leaving,
+            },
         };
-        self.contacts.heard(now, heard);
+        self.contacts.receive_heartbeat(now, heard);
         self.told_addresses.extend(heartbeat.known);
         self.load.peer_gatekeepers(now, from, heartbeat.home_gatekeepers);
         let theirs = Ballot {
--- a/crates/control/src/placer.rs
+++ b/crates/control/src/placer.rs
@@ -192,7 +192,7 @@
 
     /// Whether the machine that holds the role was heard a short time ago.
     fn is_heard(&self, now: u64, holder: &str) -> bool {
-        let heard = |contact: &Contact| now < contact.heard_at + TAKE_OVER_AFTER;
+        let heard = |contact: &Contact| now < contact.last_heard_at + TAKE_OVER_AFTER;
         self.contacts.iter().any(|(_, contact)| contact.address == holder && heard(contact))
     }
 
--- a/crates/membership/src/contact.rs
+++ b/crates/membership/src/contact.rs
@@ -7,7 +7,7 @@
 
 /// What a heartbeat tells of its sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Heard {
+pub struct ReceivedHeartbeat {
     /// Identity of the sender.
     pub id: u64,
     /// Internal address of the sender.
@@ -15,18 +15,18 @@
     /// Name of the sender's machine.
     pub node: String,
     /// Random number of the sender's life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Sequence of the heartbeat within that life.
     pub sequence: u64,
     /// Sequence of ours that it echoes, if it echoes one of this life.
     pub echo: Option<u64>,
     /// What the sender says of itself.
-    pub told: Told,
+    pub status: PeerStatus,
 }
 
 /// What a node says of itself in its heartbeats.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct PeerStatus {
     /// Zone of its machine, empty if not told.
     pub zone: String,
     /// Whether it is in contact with a quorum, has read the register in this life and has a ballot to propose with.
@@ -43,17 +43,17 @@
     /// Name of its machine.
     pub node: String,
     /// Random number of its present life.
-    pub life: u64,
+    pub incarnation: u64,
     /// When its present life was first heard, in milliseconds.
-    pub heard_since: u64,
+    pub first_heard_at: u64,
     /// Its newest sequence.
     pub sequence: u64,
     /// When it was last heard, in milliseconds.
-    pub heard_at: u64,
+    pub last_heard_at: u64,
     /// Latest time at which it is certain to have heard this node, in milliseconds; `None` if never.
     pub confirmed_at: Option<u64>,
     /// What it said of itself in its newest heartbeat.
-    pub told: Told,
+    pub status: PeerStatus,
 }
 
 /// Times at which this node's heartbeats were sent.
--- a/crates/membership/src/contacts.rs
+++ b/crates/membership/src/contacts.rs
@@ -1,32 +1,32 @@
 //! All other nodes that a node knows.
 
-use crate::contact::{Contact, Heard, SentHeartbeats};
+use crate::contact::{Contact, ReceivedHeartbeat, SentHeartbeats};
 use std::collections::BTreeMap;
 
 /// Times of the membership, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct ContactSettings {
     /// Time between two heartbeats to the same node.
-    pub heartbeat_every: u64,
+    pub heartbeat_interval_ms: u64,
     /// The same while the node seeks contact with a quorum.
-    pub seeking_every: u64,
+    pub seeking_interval_ms: u64,
     /// Age of the last confirmed contact beyond which a node counts as out of contact.
-    pub contact_for: u64,
+    pub contact_timeout_ms: u64,
     /// Silence after which a node is taken for down.
-    pub down_after: u64,
+    pub down_timeout_ms: u64,
     /// Silence after which a node is forgotten.
-    pub forget_after: u64,
+    pub forget_timeout_ms: u64,
 }
 
 impl Default for ContactSettings {
-    /// Four heartbeats may be lost before contact is; a freeze shorter than `down_after` moves no role.
+    /// Four heartbeats may be lost before contact is; a freeze shorter than `down_timeout_ms` moves no role.
     fn default() -> Self {
         ContactSettings {
-            heartbeat_every: 200,
-            seeking_every: 75,
-            contact_for: 900,
-            down_after: 1500,
-            forget_after: 60_000,
+            heartbeat_interval_ms: 200,
+            seeking_interval_ms: 75,
+            contact_timeout_ms: 900,
+            down_timeout_ms: 1500,
+            forget_timeout_ms: 60_000,
         }
     }
 }
@@ -36,9 +36,9 @@
 pub struct Contacts {
     settings: ContactSettings,
     /// Identity of this node.
-    me: u64,
+    self_id: u64,
     /// Random number of this life.
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     sent: SentHeartbeats,
     contacts: BTreeMap<u64, Contact>,
@@ -47,11 +47,11 @@
 
 impl Contacts {
     /// A node that knows no other yet.
-    pub fn new(me: u64, life: u64, settings: ContactSettings) -> Contacts {
+    pub fn new(self_id: u64, incarnation: u64, settings: ContactSettings) -> Contacts {
         Contacts {
             settings,
-            me,
-            life,
+            self_id,
+            incarnation,
             sequence: 0,
             sent: SentHeartbeats::default(),
             contacts: BTreeMap::new(),
@@ -65,13 +65,14 @@
     }
 
     /// Random number of this life.
-    pub fn life(&self) -> u64 {
-        self.life
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     /// Whether heartbeats are due; if so their sequence. They are sent more often as long as contact is sought.
     pub fn heartbeat_due(&mut self, now: u64, seeking: bool) -> Option<u64> {
-        let every = if seeking { self.settings.seeking_every } else { self.settings.heartbeat_every };
+        let every =
+            if seeking { self.settings.seeking_interval_ms } else { self.settings.heartbeat_interval_ms };
         if now < self.last_heartbeat.map_or(0, |last| last + every) {
             return None;
         }
@@ -83,50 +84,50 @@
         self.last_heartbeat = Some(now);
         self.sequence += 1;
         self.sent.record(self.sequence, now);
-        self.forget(now);
+        self.remove_expired(now);
         self.sequence
     }
 
-    fn forget(&mut self, now: u64) {
-        let oldest = now.saturating_sub(self.settings.forget_after);
-        self.contacts.retain(|_, contact| contact.heard_at >= oldest);
+    fn remove_expired(&mut self, now: u64) {
+        let oldest = now.saturating_sub(self.settings.forget_timeout_ms);
+        self.contacts.retain(|_, contact| contact.last_heard_at >= oldest);
     }
 
     /// Takes in a heartbeat. A late one of the same life changes nothing but the confirmation.
-    pub fn heard(&mut self, now: u64, heard: Heard) {
-        if heard.id == self.me {
+    pub fn receive_heartbeat(&mut self, now: u64, heard: ReceivedHeartbeat) {
+        if heard.id == self.self_id {
             return;
         }
         let confirmed_at = heard.echo.and_then(|sequence| self.sent.sent_at(sequence));
-        self.end_older_at_address(&heard);
+        self.remove_replaced_at_address(&heard);
         let contact = self.contacts.entry(heard.id).or_insert_with(|| Contact {
             address: heard.address.clone(),
             node: heard.node.clone(),
-            life: heard.life,
-            heard_since: now,
+            incarnation: heard.incarnation,
+            first_heard_at: now,
             sequence: 0,
-            heard_at: now,
+            last_heard_at: now,
             confirmed_at: None,
-            told: heard.told.clone(),
+            status: heard.status.clone(),
         });
-        if contact.life != heard.life {
-            contact.life = heard.life;
-            contact.heard_since = now;
+        if contact.incarnation != heard.incarnation {
+            contact.incarnation = heard.incarnation;
+            contact.first_heard_at = now;
             contact.sequence = 0;
             contact.confirmed_at = None;
         }
         if heard.sequence > contact.sequence {
             contact.sequence = heard.sequence;
-            contact.heard_at = now;
+            contact.last_heard_at = now;
             contact.address = heard.address;
             contact.node = heard.node;
-            contact.told = heard.told;
+            contact.status = heard.status;
         }
         contact.confirmed_at = contact.confirmed_at.max(confirmed_at);
     }
 
     /// An address belongs to the identity heard there last: a disk that was lost gives a new one.
-    fn end_older_at_address(&mut self, heard: &Heard) {
+    fn remove_replaced_at_address(&mut self, heard: &ReceivedHeartbeat) {
         let id = heard.id;
         self.contacts.retain(|other, contact| *other == id || contact.address != heard.address);
     }
@@ -148,23 +149,25 @@
 
     /// Whether a node is heard.
     pub fn is_up(&self, now: u64, id: u64) -> bool {
-        self.contacts.get(&id).is_some_and(|contact| now < contact.heard_at + self.settings.down_after)
+        self.contacts
+            .get(&id)
+            .is_some_and(|contact| now < contact.last_heard_at + self.settings.down_timeout_ms)
     }
 
     /// How long a node has been silent, in milliseconds; `None` for one not known.
     pub fn silent_for(&self, now: u64, id: u64) -> Option<u64> {
-        self.contacts.get(&id).map(|contact| now.saturating_sub(contact.heard_at))
+        self.contacts.get(&id).map(|contact| now.saturating_sub(contact.last_heard_at))
     }
 
     /// Whether a node was certain to hear this node a short time ago.
     pub fn is_in_contact(&self, now: u64, id: u64) -> bool {
-        let oldest = now.saturating_sub(self.settings.contact_for);
+        let oldest = now.saturating_sub(self.settings.contact_timeout_ms);
         self.contacts.get(&id).is_some_and(|contact| contact.confirmed_at.is_some_and(|at| at >= oldest))
     }
 
     /// Nodes that were certain to hear this node a short time ago, this node included.
     pub fn in_contact(&self, now: u64) -> impl Iterator<Item = u64> + '_ {
-        self.in_contact_within(now, self.settings.contact_for)
+        self.in_contact_within(now, self.settings.contact_timeout_ms)
     }
 
     /// Nodes that were certain to hear this node within a time in milliseconds, this node included.
@@ -174,6 +177,6 @@
             .contacts
             .iter()
             .filter(move |(_, contact)| contact.confirmed_at.is_some_and(|at| at >= oldest));
-        others.map(|(id, _)| *id).chain(std::iter::once(self.me))
+        others.map(|(id, _)| *id).chain(std::iter::once(self.self_id))
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,5 +7,5 @@
 mod contact;
 mod contacts;
 
-pub use contact::{Contact, Heard, Told};
+pub use contact::{Contact, PeerStatus, ReceivedHeartbeat};
 pub use contacts::{ContactSettings, Contacts};
--- a/crates/membership/tests/contacts.rs
+++ b/crates/membership/tests/contacts.rs
@@ -2,11 +2,11 @@
 
 use googletest::prelude::*;
 use std::collections::BTreeSet;
-use switchhill_membership::{ContactSettings, Contacts, Heard, Told};
+use switchhill_membership::{ContactSettings, Contacts, PeerStatus, ReceivedHeartbeat};
 
-fn heartbeat(id: u64, sequence: u64, echo: Option<u64>) -> Heard {
+fn heartbeat(id: u64, sequence: u64, echo: Option<u64>) -> ReceivedHeartbeat {
     let (address, node) = (format!("10.0.0.{id}:1"), format!("node-{id}"));
-    Heard { id, address, node, life: 1, sequence, echo, told: Told::default() }
+    ReceivedHeartbeat { id, address, node, incarnation: 1, sequence, echo, status: PeerStatus::default() }
 }
 
 fn contacts() -> Contacts {
@@ -21,7 +21,7 @@
 fn a_node_that_is_only_heard_is_not_in_contact() {
     let mut contacts = contacts();
     contacts.heartbeat_due(0, false);
-    contacts.heard(10, heartbeat(2, 1, None));
+    contacts.receive_heartbeat(10, heartbeat(2, 1, None));
     expect_that!(contacts.is_up(10, 2), eq(true));
     expect_that!(in_contact(&contacts, 10), eq(&BTreeSet::from([1])));
 }
@@ -30,7 +30,7 @@
 fn an_echo_confirms_the_time_of_sending_and_not_of_receiving() {
     let mut contacts = contacts();
     let sequence = contacts.heartbeat_due(0, false).unwrap();
-    contacts.heard(700, heartbeat(2, 1, Some(sequence)));
+    contacts.receive_heartbeat(700, heartbeat(2, 1, Some(sequence)));
     expect_that!(in_contact(&contacts, 900), eq(&BTreeSet::from([1, 2])));
     expect_that!(in_contact(&contacts, 901), eq(&BTreeSet::from([1])));
 }
@@ -39,9 +39,9 @@
 fn a_restarted_node_must_confirm_anew() {
     let mut contacts = contacts();
     let sequence = contacts.heartbeat_due(0, false).unwrap();
-    contacts.heard(10, heartbeat(2, 9, Some(sequence)));
-    let restarted = Heard { life: 2, ..heartbeat(2, 1, None) };
-    contacts.heard(20, restarted);
+    contacts.receive_heartbeat(10, heartbeat(2, 9, Some(sequence)));
+    let restarted = ReceivedHeartbeat { incarnation: 2, ..heartbeat(2, 1, None) };
+    contacts.receive_heartbeat(20, restarted);
     expect_that!(in_contact(&contacts, 20), eq(&BTreeSet::from([1])));
     expect_that!(contacts.get(2).unwrap().sequence, eq(1));
 }
@@ -49,9 +49,9 @@
 #[gtest]
 fn another_identity_at_an_address_ends_the_older_one() {
     let mut contacts = contacts();
-    contacts.heard(10, heartbeat(2, 1, None));
-    let wiped = Heard { id: 3, address: "10.0.0.2:1".into(), ..heartbeat(3, 1, None) };
-    contacts.heard(20, wiped);
+    contacts.receive_heartbeat(10, heartbeat(2, 1, None));
+    let wiped = ReceivedHeartbeat { id: 3, address: "10.0.0.2:1".into(), ..heartbeat(3, 1, None) };
+    contacts.receive_heartbeat(20, wiped);
     expect_that!(contacts.get(2).is_none(), eq(true));
     expect_that!(contacts.is_up(20, 3), eq(true));
 }
@@ -59,8 +59,8 @@
 #[gtest]
 fn a_late_heartbeat_does_not_move_the_sequence_back() {
     let mut contacts = contacts();
-    contacts.heard(10, heartbeat(2, 5, None));
-    contacts.heard(900, heartbeat(2, 4, None));
+    contacts.receive_heartbeat(10, heartbeat(2, 5, None));
+    contacts.receive_heartbeat(900, heartbeat(2, 4, None));
     expect_that!(contacts.get(2).unwrap().sequence, eq(5));
     expect_that!(contacts.silent_for(1510, 2), some(eq(1500)));
     expect_that!(contacts.is_up(1510, 2), eq(false));
