--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -11,21 +11,21 @@
 //! monotonic clock) and carries out what comes back; see `docs/design/agreement.md`.
 //!
 //! ```
-//! use switchhill_agreement::{Answer, Mode, Register, Settings, Version};
+//! use switchhill_agreement::{Mode, ReadReply, Register, Settings, Version};
 //!
 //! let mut register = Register::new(Settings::default(), 0);
-//! assert_eq!(register.acting(0).mode, Mode::Starting);
+//! assert_eq!(register.effective_state(0).mode, Mode::Starting);
 //! let sent = 0;
 //! let current = Version { epoch: 4, digest: 9 };
-//! register.read(10, sent, Answer { pointer: Some(current), settle_ms: None, content: true });
-//! assert_eq!(register.acting(10).mode, Mode::Active);
-//! assert_eq!(register.acting(10).active, Some(current));
+//! register.read(10, sent, ReadReply { pointer: Some(current), settle_ms: None, content_available: true });
+//! assert_eq!(register.effective_state(10).mode, Mode::Active);
+//! assert_eq!(register.effective_state(10).active, Some(current));
 //! ```
 
 pub mod hosts;
 mod members;
 
-pub use members::{Listed, Members, Told};
+pub use members::{ListedMember, Members, MembershipView};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
@@ -65,7 +65,7 @@
     }
 
     /// The store's form, read by [`Version::parse`].
-    pub fn stored(&self) -> String {
+    pub fn encode(&self) -> String {
         format!("{} {:016x}", self.epoch, self.digest)
     }
 }
@@ -84,7 +84,7 @@
     pub period_ms: Ms,
     /// A read answered later than this after it was sent confirms nothing: its moment is too uncertain.
     /// At most `period_ms`. This is the bound on disagreement.
-    pub slowest_read_ms: Ms,
+    pub read_timeout_ms: Ms,
     /// How long a confirmation holds. At least `2 * period_ms`.
     pub lease_ms: Ms,
     /// How long an announcement lives before its version is active. Over `lease_ms + period_ms`.
@@ -93,7 +93,7 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { period_ms: 250, slowest_read_ms: 250, lease_ms: 1000, announce_ms: 1500 }
+        Settings { period_ms: 250, read_timeout_ms: 250, lease_ms: 1000, announce_ms: 1500 }
     }
 }
 
@@ -103,8 +103,8 @@
         if !(10..=10_000).contains(&self.period_ms) {
             return Err(format!("period_ms: {} is not within 10 to 10000", self.period_ms));
         }
-        if self.slowest_read_ms == 0 || self.slowest_read_ms > self.period_ms {
-            return Err(format!("slowest_read_ms: {} is not within 1 to period_ms", self.slowest_read_ms));
+        if self.read_timeout_ms == 0 || self.read_timeout_ms > self.period_ms {
+            return Err(format!("read_timeout_ms: {} is not within 1 to period_ms", self.read_timeout_ms));
         }
         if self.lease_ms < 2 * self.period_ms {
             return Err(format!("lease_ms: {} is under twice period_ms", self.lease_ms));
@@ -116,10 +116,10 @@
     }
 
     /// The longest that two gateways act on contradicting versions, as the design proves it: one read's round trip
-    /// (`slowest_read_ms`), and one more where the store lost the register during an announcement and it was given
+    /// (`read_timeout_ms`), and one more where the store lost the register during an announcement and it was given
     /// back with what was left of it.
     pub fn bound_ms(&self) -> Ms {
-        2 * self.slowest_read_ms
+        2 * self.read_timeout_ms
     }
 }
 
@@ -129,7 +129,7 @@
     /// Not yet confirmed once since the start: safe, and nothing known to be current.
     #[default]
     Starting,
-    /// Acting on [`Acting::active`], confirmed within the lease.
+    /// Acting on [`EffectiveState::active`], confirmed within the lease.
     Active,
     /// Not confirmed within the lease, or content that could not be had: the stricter of all versions known.
     Safe,
@@ -137,7 +137,7 @@
 
 /// The state a gateway's decisions read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Acting {
+pub struct EffectiveState {
     /// Active, safe or starting.
     pub mode: Mode,
     /// The version acted on while Active; in Safe mode the last one that was.
@@ -148,7 +148,7 @@
 
 /// A register's state as of its last event, for a reader on another thread whose clock runs on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct State {
+pub struct RegisterSnapshot {
     /// The mode as of the last event.
     pub mode: Mode,
     /// The version acted on as of the last event.
@@ -156,72 +156,72 @@
     /// A version announced and the moment it becomes active.
     pub pending: Option<(Version, Ms)>,
     /// The end of the lease.
-    pub lease_until: Option<Ms>,
+    pub lease_expires_at: Option<Ms>,
     /// The last change of mode or version: when, and why in a few words.
-    pub changed: (Ms, &'static str),
+    pub last_change: (Ms, &'static str),
     /// When a lease last ran out. A process woken from a stop may be confirmed again before its loop has looked: it
     /// decided nothing in between, and was safe from this moment on.
-    pub lapsed: Option<Ms>,
+    pub lease_expired_at: Option<Ms>,
 }
 
-impl State {
+impl RegisterSnapshot {
     /// What the register acts on at `now`, by the same rules as [`Register::tick`]: what is due is active, and a
     /// lease that ran out means Safe mode, however late the register's own thread is.
-    pub fn at(&self, now: Ms) -> Acting {
-        self.told_at(now).0
+    pub fn effective_at(&self, now: Ms) -> EffectiveState {
+        self.effective_with_change_at(now).0
     }
 
-    /// As [`State::at`], with the moment of the last change and why it came. Both are of the change itself, however
+    /// As [`RegisterSnapshot::effective_at`], with the moment of the last change and why it came. Both are of the change itself, however
     /// late the caller looks: an announcement's end, a lease's end.
-    pub fn told_at(&self, now: Ms) -> (Acting, (Ms, &'static str)) {
-        let mut acting = Acting {
+    pub fn effective_with_change_at(&self, now: Ms) -> (EffectiveState, (Ms, &'static str)) {
+        let mut acting = EffectiveState {
             mode: self.mode,
             active: self.active,
             pending: self.pending.map(|(version, _)| version),
         };
-        let mut changed = self.changed;
+        let mut last_change = self.last_change;
         if let Some((version, at)) = self.pending.filter(|(_, at)| now >= *at) {
-            (acting.active, acting.pending, changed) = (Some(version), None, (at, ACTIVATED));
+            (acting.active, acting.pending, last_change) = (Some(version), None, (at, ACTIVATED));
         }
-        if let (Mode::Active, Some(until)) = (self.mode, self.lease_until.filter(|until| now > *until)) {
-            (acting.mode, changed) = (Mode::Safe, (until + 1, LAPSED));
+        if let (Mode::Active, Some(until)) = (self.mode, self.lease_expires_at.filter(|until| now > *until)) {
+            (acting.mode, last_change) = (Mode::Safe, (until + 1, LEASE_EXPIRED));
         }
-        (acting, changed)
+        (acting, last_change)
     }
 }
 
 /// Why a version became active: its announcement's end.
 const ACTIVATED: &str = "announcement ran out";
 /// Why a gateway went to Safe mode.
-const LAPSED: &str = "lease ran out";
+const LEASE_EXPIRED: &str = "lease ran out";
 
 /// One read of the register: `GET agreement:K`, `PTTL agreement:K:settle` and, for a version not yet held, its
 /// content, fetched and checked against its digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct ReadReply {
     /// The pointer, or `None` where the key is gone.
     pub pointer: Option<Version>,
     /// Milliseconds the announcement still lives, or `None` where it has run out (`PTTL` below 0).
     pub settle_ms: Option<Ms>,
     /// Whether the content of `pointer` is held and matches its digest.
-    pub content: bool,
+    pub content_available: bool,
 }
 
 /// What the caller is to do against the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the register (see [`Answer`]) and tell [`Register::read`] or [`Register::read_failed`], with `sent`.
+    /// Read the register (see [`ReadReply`]) and tell [`Register::read`] or [`Register::read_failed`], with `sent`.
     Read {
-        /// The moment the read was asked for; given back with its answer.
+        /// The moment the read was asked for; given back with its reply.
         sent: Ms,
     },
     /// Write the content under its epoch, then compare-and-set the pointer from `over` to `version` and set the
-    /// announcement with `PX announce_ms`, refusing while an announcement lives. Tell [`Register::proposed`].
+    /// announcement with `PX announce_ms`, refusing while an announcement lives. Tell [`Register::proposal_finished`].
     Propose {
         /// The new version.
         version: Version,
         /// The version the pointer must still hold; `None` where it is to be absent.
-        over: Option<Version>,
+        expected: Option<Version>,
     },
     /// The pointer is gone or older than a version seen: where it holds less, or nothing, set it to `version`
     /// and set the announcement with `PX settle_ms`, so that nobody joins on what was given back before it settles.
@@ -235,7 +235,7 @@
 
 /// How a proposal fared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Proposed {
+pub enum ProposalOutcome {
     /// The pointer holds it, announced.
     Won,
     /// The pointer had moved, an announcement lived, or the store did not answer: read and try again.
@@ -250,20 +250,20 @@
     active: Option<Version>,
     pending: Option<(Version, Ms)>,
     highest: Option<Version>,
-    confirmed: Option<Ms>,
-    reading: Option<Ms>,
+    confirmed_at: Option<Ms>,
+    read_sent_at: Option<Ms>,
     next_read: Ms,
-    wanted: Option<u64>,
-    /// `wanted` is for a fleet that has no version yet, and for none that has one.
-    only_first: bool,
-    proposing: Option<Version>,
-    restore: bool,
+    desired: Option<u64>,
+    /// `desired` is for a fleet that has no version yet, and for none that has one.
+    initial_only: bool,
+    in_flight_proposal: Option<Version>,
+    restore_needed: bool,
     /// The last read in time found no pointer.
-    absent: bool,
+    pointer_absent: bool,
     /// A read has come back since the last proposal's outcome.
-    fresh: bool,
-    changed: (Ms, &'static str),
-    lapsed: Option<Ms>,
+    read_since_proposal: bool,
+    last_change: (Ms, &'static str),
+    lease_expired_at: Option<Ms>,
 }
 
 impl Register {
@@ -275,36 +275,40 @@
             active: None,
             pending: None,
             highest: None,
-            confirmed: None,
-            reading: None,
+            confirmed_at: None,
+            read_sent_at: None,
             next_read: now,
-            wanted: None,
-            only_first: false,
-            proposing: None,
-            restore: false,
-            absent: false,
-            fresh: true,
-            changed: (now, "started"),
-            lapsed: None,
+            desired: None,
+            initial_only: false,
+            in_flight_proposal: None,
+            restore_needed: false,
+            pointer_absent: false,
+            read_since_proposal: true,
+            last_change: (now, "started"),
+            lease_expired_at: None,
         }
     }
 
     /// What decisions act on at `now`. Danger: a decision taken without this call (or [`Register::tick`]) in the
     /// same round would act on a version whose lease ran out while the process was stopped.
-    pub fn acting(&mut self, now: Ms) -> Acting {
+    pub fn effective_state(&mut self, now: Ms) -> EffectiveState {
         self.tick(now);
-        Acting { mode: self.mode, active: self.active, pending: self.pending.map(|(version, _)| version) }
+        EffectiveState {
+            mode: self.mode,
+            active: self.active,
+            pending: self.pending.map(|(version, _)| version),
+        }
     }
 
-    /// What another thread needs to tell, at any moment, what this register acts on: see [`State::at`].
-    pub fn state(&self) -> State {
-        State {
+    /// What another thread needs to tell, at any moment, what this register acts on: see [`RegisterSnapshot::effective_at`].
+    pub fn snapshot(&self) -> RegisterSnapshot {
+        RegisterSnapshot {
             mode: self.mode,
             active: self.active,
             pending: self.pending,
-            lease_until: self.confirmed.map(|at| at + self.settings.lease_ms),
-            changed: self.changed,
-            lapsed: self.lapsed,
+            lease_expires_at: self.confirmed_at.map(|at| at + self.settings.lease_ms),
+            last_change: self.last_change,
+            lease_expired_at: self.lease_expired_at,
         }
     }
 
@@ -320,26 +324,26 @@
                 self.pending = None;
                 self.active = Some(version);
                 if self.mode == Mode::Active {
-                    self.changed = (at, ACTIVATED);
+                    self.last_change = (at, ACTIVATED);
                 }
             }
         }
-        let ended = self.confirmed.map(|at| at + self.settings.lease_ms + 1).filter(|end| now >= *end);
+        let ended = self.confirmed_at.map(|at| at + self.settings.lease_ms + 1).filter(|end| now >= *end);
         if let (Mode::Active, Some(end)) = (self.mode, ended) {
             self.mode = Mode::Safe;
-            self.changed = (end, LAPSED);
-            self.lapsed = Some(end);
+            self.last_change = (end, LEASE_EXPIRED);
+            self.lease_expired_at = Some(end);
         }
     }
 
     /// The earliest moment at which [`Register::tick`] or [`Register::poll_action`] has something to do.
     pub fn next_due(&self) -> Ms {
-        let mut due = if self.reading.is_some() { Ms::MAX } else { self.next_read };
+        let mut due = if self.read_sent_at.is_some() { Ms::MAX } else { self.next_read };
         if let Some((_, at)) = self.pending {
             due = due.min(at);
         }
         if self.mode == Mode::Active {
-            if let Some(at) = self.confirmed {
+            if let Some(at) = self.confirmed_at {
                 due = due.min(at + self.settings.lease_ms + 1);
             }
         }
@@ -347,18 +351,18 @@
     }
 
     /// The next thing to do against the store, if any. One read at a time; a read whose answer never comes is
-    /// given up after `slowest_read_ms` and the next one goes out.
+    /// given up after `read_timeout_ms` and the next one goes out.
     pub fn poll_action(&mut self, now: Ms) -> Option<Action> {
         self.tick(now);
-        if let Some(sent) = self.reading {
-            if now < sent + self.settings.slowest_read_ms.max(self.settings.period_ms) {
+        if let Some(sent) = self.read_sent_at {
+            if now < sent + self.settings.read_timeout_ms.max(self.settings.period_ms) {
                 return None;
             }
-            self.reading = None;
+            self.read_sent_at = None;
         }
-        if self.restore {
+        if self.restore_needed {
             if let Some(version) = self.highest {
-                self.restore = false;
+                self.restore_needed = false;
                 // Danger: a fresh announcement for a version others already wait for would move its moment later
                 // at those that read again; what is left of it is given back instead.
                 let left =
@@ -367,31 +371,31 @@
                 return Some(Action::Restore { version, settle_ms });
             }
         }
-        if self.only_first && self.highest.is_some() {
+        if self.initial_only && self.highest.is_some() {
             // Danger: what a process was started with is no change; proposed over a version it would turn a fleet
             // back to the file of whoever restarts.
-            (self.wanted, self.only_first) = (None, false);
+            (self.desired, self.initial_only) = (None, false);
         }
-        if let Some(digest) = self.wanted {
+        if let Some(digest) = self.desired {
             // A fleet's first version: nothing was ever seen here and the store holds none; the compare-and-set
             // over an absent pointer lets one proposal win.
-            let first = self.absent && self.highest.is_none();
+            let first = self.pointer_absent && self.highest.is_none();
             // Danger: without a read between two proposals, one that lost would be made again at once and lose
             // again, and no read would ever go out.
-            let may = self.proposing.is_none() && self.fresh;
+            let may = self.in_flight_proposal.is_none() && self.read_since_proposal;
             if may && (first || self.mode == Mode::Active && self.pending.is_none()) {
                 if self.active.is_some_and(|version| version.digest == digest) {
-                    self.wanted = None;
+                    self.desired = None;
                 } else {
                     let epoch = self.highest.map_or(1, |version| version.epoch + 1);
                     let version = Version { epoch, digest };
-                    self.proposing = Some(version);
-                    return Some(Action::Propose { version, over: self.highest });
+                    self.in_flight_proposal = Some(version);
+                    return Some(Action::Propose { version, expected: self.highest });
                 }
             }
         }
         if now >= self.next_read {
-            self.reading = Some(now);
+            self.read_sent_at = Some(now);
             self.next_read = now + self.settings.period_ms;
             return Some(Action::Read { sent: now });
         }
@@ -401,27 +405,27 @@
     /// This gateway loaded a content whole, whose digest is `digest`, and asks for it to become the version.
     /// A second wish before the first was announced replaces it: the last file loaded is the one meant.
     pub fn propose(&mut self, digest: u64) {
-        (self.wanted, self.only_first) = (Some(digest), false);
+        (self.desired, self.initial_only) = (Some(digest), false);
     }
 
     /// This gateway was started with a content whose digest is `digest`: it becomes the version where there is none.
-    pub fn propose_first(&mut self, digest: u64) {
-        if self.wanted.is_none() && self.highest.is_none() {
-            (self.wanted, self.only_first) = (Some(digest), true);
+    pub fn propose_initial(&mut self, digest: u64) {
+        if self.desired.is_none() && self.highest.is_none() {
+            (self.desired, self.initial_only) = (Some(digest), true);
         }
     }
 
     /// Nothing is asked for any more; a proposal that is out already stands.
     pub fn withdraw(&mut self) {
-        self.wanted = None;
+        self.desired = None;
     }
 
     /// How the proposal fared.
-    pub fn proposed(&mut self, now: Ms, outcome: Proposed) {
-        let proposed = self.proposing.take();
-        self.fresh = false;
-        if let (Proposed::Won, Some(version)) = (outcome, proposed) {
-            self.wanted = None;
+    pub fn proposal_finished(&mut self, now: Ms, outcome: ProposalOutcome) {
+        let proposed = self.in_flight_proposal.take();
+        self.read_since_proposal = false;
+        if let (ProposalOutcome::Won, Some(version)) = (outcome, proposed) {
+            self.desired = None;
             // Danger: known only from a later read, a version won would be forgotten if the store lost it before
             // then, and the older one given back in its place. Its announcement ends at the latest now + D.
             self.highest = Some(version);
@@ -433,37 +437,38 @@
 
     /// A read sent at `sent` failed or was not answered.
     pub fn read_failed(&mut self, _now: Ms, sent: Ms) {
-        if self.reading == Some(sent) {
-            self.reading = None;
+        if self.read_sent_at == Some(sent) {
+            self.read_sent_at = None;
         }
     }
 
     /// The answer of a read sent at `sent`, received at `now`.
-    pub fn read(&mut self, now: Ms, sent: Ms, answer: Answer) {
-        if self.reading == Some(sent) {
-            self.reading = None;
+    pub fn read(&mut self, now: Ms, sent: Ms, reply: ReadReply) {
+        if self.read_sent_at == Some(sent) {
+            self.read_sent_at = None;
         }
-        self.fresh = true;
+        self.read_since_proposal = true;
         self.tick(now);
-        self.absent = answer.pointer.is_none() && now.saturating_sub(sent) <= self.settings.slowest_read_ms;
-        let Some(pointer) = answer.pointer else {
+        self.pointer_absent =
+            reply.pointer.is_none() && now.saturating_sub(sent) <= self.settings.read_timeout_ms;
+        let Some(pointer) = reply.pointer else {
             // The key is gone: the store lost it or came back empty. Give back the highest version seen.
-            self.restore = self.highest.is_some();
+            self.restore_needed = self.highest.is_some();
             return;
         };
         if let Some(highest) = self.highest {
             if pointer.epoch < highest.epoch || (pointer.epoch == highest.epoch && pointer != highest) {
                 // Danger: an old version offered again would be a looser rule taken back; it comes only as a new
                 // epoch.
-                self.restore = true;
+                self.restore_needed = true;
                 return;
             }
         }
         self.highest = Some(pointer);
-        if now.saturating_sub(sent) > self.settings.slowest_read_ms || !answer.content {
+        if now.saturating_sub(sent) > self.settings.read_timeout_ms || !reply.content_available {
             return;
         }
-        match answer.settle_ms {
+        match reply.settle_ms {
             Some(left) => {
                 // Danger: a gateway not Active that joined during an announcement could take the old version
                 // (or a stale one given back after a loss) while others hold the new: it waits until it settles.
@@ -481,15 +486,15 @@
                 if self.active != Some(pointer) {
                     self.active = Some(pointer);
                     if self.mode == Mode::Active {
-                        self.changed = (now, "taken as settled");
+                        self.last_change = (now, "taken as settled");
                     }
                 }
             }
         }
-        self.confirmed = Some(sent);
+        self.confirmed_at = Some(sent);
         if self.mode != Mode::Active {
             self.mode = Mode::Active;
-            self.changed = (now, "confirmed");
+            self.last_change = (now, "confirmed");
         }
     }
 }
--- a/crates/agreement/tests/model.rs
+++ b/crates/agreement/tests/model.rs
@@ -4,7 +4,7 @@
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
-use switchhill_agreement::{Action, Answer, Mode, Ms, Proposed, Register, Settings, Version};
+use switchhill_agreement::{Action, Mode, Ms, ProposalOutcome, ReadReply, Register, Settings, Version};
 
 const STEP: Ms = 5;
 const START: Ms = 2000;
@@ -57,8 +57,8 @@
     fault: Fault,
     rtt: Ms,
     /// Answers on their way: (arrives, sent, answer or None for a failed write's reply).
-    reads: Vec<(Ms, Ms, Option<Answer>)>,
-    proposals: Vec<(Ms, Proposed)>,
+    reads: Vec<(Ms, Ms, Option<ReadReply>)>,
+    proposals: Vec<(Ms, ProposalOutcome)>,
     wish: Option<(Ms, u64)>,
 }
 
@@ -81,7 +81,7 @@
     clocks: &[Clock],
     rtts: &[Ms],
     store_fault: StoreFault,
-    wishes: &[(usize, Ms, u64)],
+    changes: &[(usize, Ms, u64)],
 ) -> (Ms, bool) {
     let first = Version { epoch: 1, digest: 1 };
     let mut store = Store { pointer: Some(first), settle_until: None };
@@ -99,7 +99,7 @@
             wish: None,
         })
         .collect();
-    for (node, at, digest) in wishes {
+    for (node, at, digest) in changes {
         nodes[*node].wish = Some((*at, *digest));
     }
     let mut longest = 0;
@@ -140,7 +140,7 @@
             let due: Vec<_> = node.proposals.iter().copied().filter(|told| told.0 <= now).collect();
             node.proposals.retain(|told| told.0 > now);
             for (_, outcome) in due {
-                node.register.proposed(shows, outcome);
+                node.register.proposal_finished(shows, outcome);
             }
             while let Some(action) = node.register.poll_action(shows) {
                 let (rtt, lost, content) = match node.fault {
@@ -157,20 +157,21 @@
                         if lost {
                             continue;
                         }
-                        let answer = Answer {
+                        let answer = ReadReply {
                             pointer: store.pointer,
                             settle_ms: store.settle(at),
-                            content: content || store.pointer.is_some_and(|pointer| pointer.epoch == 1),
+                            content_available: content
+                                || store.pointer.is_some_and(|pointer| pointer.epoch == 1),
                         };
                         node.reads.push((now + rtt, sent, Some(answer)));
                     }
-                    Action::Propose { version, over } => {
-                        let won = !lost && store.pointer == over && store.settle(at).is_none();
+                    Action::Propose { version, expected } => {
+                        let won = !lost && store.pointer == expected && store.settle(at).is_none();
                         if won {
                             store.pointer = Some(version);
                             store.settle_until = Some(at + settings.announce_ms);
                         }
-                        let outcome = if won { Proposed::Won } else { Proposed::Lost };
+                        let outcome = if won { ProposalOutcome::Won } else { ProposalOutcome::Lost };
                         node.proposals.push((now + rtt, outcome));
                     }
                     Action::Restore { version, settle_ms } => {
@@ -187,7 +188,7 @@
             if node.stopped(now) {
                 continue;
             }
-            let acting = node.register.acting(node.shows(now));
+            let acting = node.register.effective_state(node.shows(now));
             if acting.mode == Mode::Active {
                 active.extend(acting.active);
             }
@@ -204,7 +205,7 @@
     }
     let last = store.pointer;
     let settled = nodes.iter_mut().all(|node| {
-        let acting = node.register.acting(node.shows(END));
+        let acting = node.register.effective_state(node.shows(END));
         node.stopped(END) || (acting.mode == Mode::Active && acting.active == last)
     });
     (longest, settled)
@@ -247,9 +248,9 @@
                 [StoreFault::None, StoreFault::Emptied(START + 700), StoreFault::Emptied(START + 1700)]
             {
                 for two in [false, true] {
-                    let mut wishes = vec![(0, START, 2)];
+                    let mut changes = vec![(0, START, 2)];
                     if two {
-                        wishes.push((1, START + 300, 3));
+                        changes.push((1, START + 300, 3));
                     }
                     let (longest, settled) = play(
                         settings,
@@ -257,7 +258,7 @@
                         &[TRUE; 3],
                         &[2, 40, 120],
                         store,
-                        &wishes,
+                        &changes,
                     );
                     assert!(
                         longest <= bound,
@@ -314,10 +315,10 @@
         clocks in proptest::collection::vec((0..1_000_000_000u64, 990..=1010u64), 4),
         rtts in proptest::collection::vec(1..200u64, 4),
         emptied in proptest::option::of(0..END / STEP),
-        wishes in proptest::collection::vec((0..4usize, 500..END - 2000, 2..9u64), 1..4),
+        changes in proptest::collection::vec((0..4usize, 500..END - 2000, 2..9u64), 1..4),
     ) {
         let store = emptied.map_or(StoreFault::None, |at| StoreFault::Emptied(at * STEP));
-        let (longest, _) = play(Settings::default(), &faults, &clocks, &rtts, store, &wishes);
+        let (longest, _) = play(Settings::default(), &faults, &clocks, &rtts, store, &changes);
         let drift = 2 * Settings::default().announce_ms / 100;
         prop_assert!(longest <= Settings::default().bound_ms() + drift, "{} ms", longest);
     }
--- a/lab/tests/rig.rs
+++ b/lab/tests/rig.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use switchhill_agreement::{digest, Mode, Ms, Proposed, Register, Settings, Version};
+use switchhill_agreement::{digest, Mode, Ms, ProposalOutcome, Register, Settings, Version};
 use switchhill_lab::rig::proxy::{Fault, Proxy};
 use switchhill_lab::rig::register::{drive, Wire};
 use switchhill_lab::rig::store::Store;
@@ -26,22 +26,22 @@
     let (mut first, mut second) =
         (Wire::new(store.address, "settings", CALL), Wire::new(store.address, "settings", CALL));
     let one = Version { epoch: 1, ..offered(&mut first, b"classes: one") };
-    assert_eq!(first.propose(one, None, 400), Proposed::Won);
+    assert_eq!(first.propose(one, None, 400), ProposalOutcome::Won);
     let two = Version { epoch: 1, ..offered(&mut second, b"classes: two") };
-    assert_eq!(second.propose(two, None, 400), Proposed::Lost, "the pointer is no longer absent");
+    assert_eq!(second.propose(two, None, 400), ProposalOutcome::Lost, "the pointer is no longer absent");
     let two = Version { epoch: 2, ..two };
-    assert_eq!(second.propose(two, Some(one), 400), Proposed::Lost, "the announcement lives");
+    assert_eq!(second.propose(two, Some(one), 400), ProposalOutcome::Lost, "the announcement lives");
     let answer = second.read().expect("a read");
     assert_eq!(answer.pointer, Some(one));
-    assert!(answer.settle_ms.is_some_and(|left| left <= 400) && answer.content);
+    assert!(answer.settle_ms.is_some_and(|left| left <= 400) && answer.content_available);
     thread::sleep(Duration::from_millis(450));
     assert_eq!(second.read().expect("a read").settle_ms, None);
-    assert_eq!(second.propose(two, Some(one), 400), Proposed::Won);
+    assert_eq!(second.propose(two, Some(one), 400), ProposalOutcome::Won);
     store.empty();
     assert_eq!(first.read().expect("a read").pointer, None);
     assert!(!first.restore(two, 300), "first never held the content of two");
     assert!(second.restore(two, 300));
-    assert_eq!(store.peek("agreement:settings").as_deref(), Some(two.stored().as_bytes()));
+    assert_eq!(store.peek("agreement:settings").as_deref(), Some(two.encode().as_bytes()));
 }
 
 #[test]
@@ -100,14 +100,14 @@
     let proxies: Vec<Arc<Proxy>> = (0..3).map(|seed| Arc::new(Proxy::start(store.address, seed))).collect();
     let mut seeder = Wire::new(store.address, "settings", CALL);
     let first = Version { epoch: 1, ..offered(&mut seeder, b"classes: first") };
-    assert_eq!(seeder.propose(first, None, 1), Proposed::Won);
+    assert_eq!(seeder.propose(first, None, 1), ProposalOutcome::Won);
     thread::sleep(Duration::from_millis(5));
     let mut threads = Vec::new();
     for (who, proxy) in proxies.iter().enumerate() {
         let (seen, address) = (seen.clone(), proxy.address);
         threads.push(thread::spawn(move || {
             let mut register = Register::new(settings, clock());
-            let mut wire = Wire::new(address, "settings", Duration::from_millis(settings.slowest_read_ms));
+            let mut wire = Wire::new(address, "settings", Duration::from_millis(settings.read_timeout_ms));
             let content = b"classes: second";
             wire.offered.insert(digest(content), content.to_vec());
             let mut wished = false;
@@ -117,7 +117,7 @@
                     wished = true;
                 }
                 drive(&mut register, &mut wire, clock, settings.announce_ms);
-                let acting = register.acting(clock());
+                let acting = register.effective_state(clock());
                 let active = (acting.mode == Mode::Active).then_some(acting.active).flatten();
                 seen.lock().expect("lock").push((clock(), who, active));
                 thread::sleep(Duration::from_millis(5));
--- a/src/net/agreed.rs
+++ b/src/net/agreed.rs
@@ -10,7 +10,9 @@
 use crate::settings::{shared_settings, with_shared_settings, Told};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use switchhill_agreement::hosts::{held_out, Host, Hosts, Listing, Stamp, Verdict, Wishes};
+use switchhill_agreement::hosts::{
+    excluded_hosts, CordonRequests, Host, Hosts, Listing, ListingOrder, Stamp,
+};
 use switchhill_agreement::{Mode, Version};
 
 /// What rules are made of: the version taken, settings beside it in Safe mode, the told number and ordinal.
@@ -30,7 +32,7 @@
     /// Settings offered here and not agreed yet.
     offered: Option<Vec<u8>>,
     /// What the hosts held out were made of.
-    hosts: (Option<Version>, Option<Version>, Wishes),
+    hosts: (Option<Version>, Option<Version>, CordonRequests),
     /// The list in force here, and whether it was taken from the agreed version and no whole one has come since.
     stamp: Option<Stamp>,
     needs_whole: bool,
@@ -69,7 +71,7 @@
     fn conform_settings(&mut self) {
         let Some(agreement) = &mut self.agreement else { return };
         let view = agreement.view();
-        let acting = view.settings.state.at(agreement.now());
+        let acting = view.settings.state.effective_at(agreement.now());
         let taken = &agreement.taken;
         let wanted = acting.active.filter(|version| Some(*version) != taken.settings);
         if let Some(version) = wanted.filter(|version| Some(*version) != taken.refused) {
@@ -143,14 +145,14 @@
     fn conform_hosts(&mut self) {
         let Some(agreement) = &mut self.agreement else { return };
         let view = agreement.view();
-        let acting = view.hosts.state.at(agreement.now());
+        let acting = view.hosts.state.effective_at(agreement.now());
         let wishes = agreement.wishes();
         let from = (acting.active, acting.pending, wishes);
         let changed = from != agreement.taken.hosts;
         let active = view.hosts.content(acting.active).cloned();
         if changed && (acting.active.is_some() || acting.pending.is_some() || !from.2.is_empty()) {
             let pending = view.hosts.content(acting.pending);
-            let out = held_out(active.iter().chain(pending).map(Arc::as_ref), &from.2);
+            let out = excluded_hosts(active.iter().chain(pending).map(Arc::as_ref), &from.2);
             self.core.hold_out(out.into_iter().map(Into::into).collect());
         }
         let Some(agreement) = &mut self.agreement else { return };
@@ -215,8 +217,8 @@
     pub(super) fn may_take_list(&mut self, list: &List) -> bool {
         let Some(agreement) = &mut self.agreement else { return true };
         let (now, agreed) = (agreement.now(), agreement.agreed_stamp().or(agreement.taken.known));
-        match agreement.stamper.judge(now, list.revision, agreed) {
-            Verdict::Take(stamp) => {
+        match agreement.stamper.classify(now, list.revision, agreed) {
+            ListingOrder::Current(stamp) => {
                 let taken = &mut agreement.taken;
                 if list.complete || !taken.needs_whole {
                     taken.relist |= taken.stamp != Some(stamp) || list.complete;
@@ -224,7 +226,7 @@
                 }
                 true
             }
-            Verdict::Older => {
+            ListingOrder::Stale => {
                 let newest = agreed.map_or(0, |stamp| stamp.1);
                 tracing::warn!(
                     revision = list.revision,
--- a/src/net/agreement/desk.rs
+++ b/src/net/agreement/desk.rs
@@ -10,7 +10,7 @@
 #[cfg(not(test))]
 use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::Duration;
-use switchhill_agreement::hosts::{Listing, Wishes, MOST_CORDONS};
+use switchhill_agreement::hosts::{CordonRequests, Listing, MAX_CORDONS};
 
 /// One slot for each thing that is asked, so nothing piles up.
 #[derive(Default)]
@@ -20,7 +20,7 @@
     /// Settings as this gateway was started with: proposed only where there is no version at all.
     first: Option<Vec<u8>>,
     listing: Option<Arc<Listing>>,
-    wishes: Wishes,
+    wishes: CordonRequests,
     leaving: bool,
 }
 
@@ -29,7 +29,7 @@
     pub(super) offer: Option<Vec<u8>>,
     pub(super) first: Option<Vec<u8>>,
     pub(super) listing: Option<Arc<Listing>>,
-    pub(super) wishes: Wishes,
+    pub(super) wishes: CordonRequests,
 }
 
 /// The desk between the loop, which never waits at it, and the thread.
@@ -71,7 +71,7 @@
     /// Wishes a host out or back. False where too many wishes wait.
     pub(super) fn wish(&self, host: &str, out: bool) -> bool {
         self.ask(|slots| {
-            let room = slots.wishes.len() < MOST_CORDONS;
+            let room = slots.wishes.len() < MAX_CORDONS;
             let may = room || slots.wishes.contains_key(host);
             if may {
                 slots.wishes.insert(host.to_owned(), out);
@@ -81,7 +81,7 @@
     }
 
     /// The wishes that no version fulfils yet.
-    pub(super) fn wishes(&self) -> Wishes {
+    pub(super) fn wishes(&self) -> CordonRequests {
         self.slots().wishes.clone()
     }
 
@@ -102,14 +102,14 @@
     }
 
     /// Keeps of the wishes what is not met yet.
-    pub(super) fn keep_wishes(&self, unmet: impl FnOnce(Wishes) -> Wishes) {
+    pub(super) fn keep_wishes(&self, unmet: impl FnOnce(CordonRequests) -> CordonRequests) {
         let mut slots = self.slots();
         slots.wishes = unmet(std::mem::take(&mut slots.wishes));
     }
 
     /// Rests until something is asked that is not in `seen`, no longer than told. What was asked since the round that saw
     /// it looked is not slept over.
-    pub(super) fn rest(&self, longest: Duration, seen: (&Option<Arc<Listing>>, &Wishes)) {
+    pub(super) fn rest(&self, longest: Duration, seen: (&Option<Arc<Listing>>, &CordonRequests)) {
         let nothing_new = |slots: &mut Slots| {
             slots.offer.is_none() && !slots.leaving && slots.wishes == *seen.1 && same(&slots.listing, seen.0)
         };
--- a/src/net/agreement/desk/tests.rs
+++ b/src/net/agreement/desk/tests.rs
@@ -19,7 +19,7 @@
 struct Seen {
     offers: Vec<Vec<u8>>,
     listing: Option<Listing>,
-    wishes: Wishes,
+    wishes: CordonRequests,
 }
 
 /// The rounds of the thread: it looks, and rests, until it has seen all or is to end.
--- a/src/net/agreement/keeper.rs
+++ b/src/net/agreement/keeper.rs
@@ -7,7 +7,7 @@
 use super::{held, REGISTERS};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use switchhill_agreement::hosts::{compose, unmet, Hosts, Wishes};
+use switchhill_agreement::hosts::{compose, pending_requests, CordonRequests, Hosts};
 use switchhill_agreement::{digest, Action, Members, Ms, Register, Settings};
 use switchhill_recovery::staggered_start;
 
@@ -25,9 +25,9 @@
             Ok(answer) => register.read(clock(), sent, answer),
             Err(_) => register.read_failed(clock(), sent),
         },
-        Action::Propose { version, over } => {
-            let outcome = wire.propose(version, over, announce_ms);
-            register.proposed(clock(), outcome);
+        Action::Propose { version, expected } => {
+            let outcome = wire.propose(version, expected, announce_ms);
+            register.proposal_finished(clock(), outcome);
         }
         Action::Restore { version, settle_ms } => {
             wire.restore(version, settle_ms);
@@ -46,17 +46,17 @@
     told: &Mutex<Arc<View>>,
 ) {
     let clock = || start.elapsed().as_millis() as Ms;
-    let timeout = Duration::from_millis(settings.slowest_read_ms);
+    let timeout = Duration::from_millis(settings.read_timeout_ms);
     let link = Link::new(store, timeout, seed, staggered_start(SPREAD, number.0, number.1, seed));
     let mut registers = [Register::new(settings, clock()), Register::new(settings, clock())];
     let mut wires = [
         Wire::over(link.clone(), prefix, REGISTERS[0], |_| true),
-        Wire::over(link, prefix, REGISTERS[1], |bytes| Hosts::read(bytes).is_ok()),
+        Wire::over(link, prefix, REGISTERS[1], |bytes| Hosts::parse(bytes).is_ok()),
     ];
     let mut members = Members::new(settings, id);
     let mut next_listing = clock();
     let mut view = View::default();
-    let mut composed_from = (None, false, None, Wishes::new());
+    let mut composed_from = (None, false, None, CordonRequests::new());
     loop {
         let Some(Asked { offer, first, listing, mut wishes }) = desk.take() else {
             wires[0].leave(id);
@@ -65,22 +65,22 @@
         if let Some(content) = first {
             let digest = digest(&content);
             wires[0].offered.insert(digest, content);
-            registers[0].propose_first(digest);
+            registers[0].propose_initial(digest);
         }
         if let Some(content) = offer {
             want(&mut registers[0], &mut wires[0], Some(content));
         }
         let newest = view.hosts.content(registers[1].highest()).cloned();
         if !wishes.is_empty() {
-            wishes = unmet(newest.as_deref(), wishes);
-            desk.keep_wishes(|wishes| unmet(newest.as_deref(), wishes));
+            wishes = pending_requests(newest.as_deref(), wishes);
+            desk.keep_wishes(|wishes| pending_requests(newest.as_deref(), wishes));
         }
         let from = (registers[1].highest(), newest.is_some(), listing.clone(), wishes.clone());
         if from != composed_from {
             // Without the newest content nothing is composed: it would undo what that content says.
             let knows = newest.is_some() || registers[1].highest().is_none();
             let next = knows.then(|| compose(newest.as_deref(), listing.as_deref(), &wishes)).flatten();
-            want(&mut registers[1], &mut wires[1], next.map(|hosts| hosts.stored()));
+            want(&mut registers[1], &mut wires[1], next.map(|hosts| hosts.encode()));
         }
         composed_from = from;
         // Danger: what one blocking call has confirmed must not wait for the next one to be published: the loop would
@@ -90,8 +90,8 @@
                 settings: view.settings.next(&registers[0], &wires[0], |bytes| Some(bytes.clone())),
                 hosts: view
                     .hosts
-                    .next(&registers[1], &wires[1], |bytes| Hosts::read(bytes).ok().map(Arc::new)),
-                members: Some(members.told(clock())),
+                    .next(&registers[1], &wires[1], |bytes| Hosts::parse(bytes).ok().map(Arc::new)),
+                members: Some(members.view(clock())),
             };
             *held(told) = Arc::new(view.clone());
         };
@@ -104,7 +104,7 @@
             let sent = clock();
             next_listing = sent + settings.period_ms;
             if let Ok(listed) = wires[0].members(id, settings.lease_ms) {
-                members.listed(clock(), sent, listed);
+                members.record_listing(clock(), sent, listed);
             }
             publish(&registers, &wires, &members);
         }
--- a/src/net/agreement/mod.rs
+++ b/src/net/agreement/mod.rs
@@ -17,8 +17,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::Instant;
-use switchhill_agreement::hosts::{Listing, Stamp, Stamper, Wishes};
-use switchhill_agreement::{Acting, Mode, Ms, Settings, State, Told, Version};
+use switchhill_agreement::hosts::{CordonRequests, Listing, RevisionTracker, Stamp};
+use switchhill_agreement::{EffectiveState, MembershipView, Mode, Ms, RegisterSnapshot, Settings, Version};
 use view::View;
 
 /// A lock's contents, also after a panic elsewhere while it was held: what is inside is whole values only.
@@ -39,7 +39,7 @@
     /// What the loop has taken of the versions.
     pub(in crate::net) taken: crate::net::agreed::Taken,
     /// Orders discovery's lists against the agreed one.
-    pub(in crate::net) stamper: Stamper,
+    pub(in crate::net) stamper: RevisionTracker,
 }
 
 /// The registers' names, in the order of what is logged.
@@ -76,7 +76,7 @@
                 .duration_since(std::time::UNIX_EPOCH)
                 .map_or(0, |since| since.as_millis() as Ms),
             taken: crate::net::agreed::Taken::default(),
-            stamper: Stamper::default(),
+            stamper: RevisionTracker::default(),
         }
     }
 
@@ -93,8 +93,9 @@
     /// How long until an announcement or a lease ends, so that the loop looks in time.
     pub(in crate::net) fn due_in(&self) -> Option<Ms> {
         let (view, now) = (self.view(), self.now());
-        let ends =
-            |state: &State| [state.pending.map(|(_, at)| at), state.lease_until.map(|until| until + 1)];
+        let ends = |state: &RegisterSnapshot| {
+            [state.pending.map(|(_, at)| at), state.lease_expires_at.map(|until| until + 1)]
+        };
         let both = [ends(&view.settings.state), ends(&view.hosts.state)];
         both.into_iter().flatten().flatten().filter(|at| *at > now).min().map(|at| at - now)
     }
@@ -115,7 +116,7 @@
     }
 
     /// The wishes that no version fulfils yet.
-    pub(in crate::net) fn wishes(&self) -> Wishes {
+    pub(in crate::net) fn wishes(&self) -> CordonRequests {
         self.desk.wishes()
     }
 
@@ -127,7 +128,7 @@
     /// The stamp of the newest list that this gateway acts on by agreement.
     pub(in crate::net) fn agreed_stamp(&self) -> Option<Stamp> {
         let view = self.view();
-        let active = view.hosts.state.at(self.now()).active;
+        let active = view.hosts.state.effective_at(self.now()).active;
         view.hosts.content(active).map(|hosts| hosts.stamp)
     }
 
@@ -135,8 +136,8 @@
     /// alone, and at first, never under the configured number: the looser share is taken only on evidence.
     pub(in crate::net) fn told_number(&self, configured: (u32, u32)) -> (u32, u32) {
         let view = self.view();
-        let told = view.members.unwrap_or(Told::ALONE);
-        if told.alone
+        let told = view.members.unwrap_or(MembershipView::ISOLATED);
+        if told.isolated
             || self.now() < 2 * self.settings.lease_ms
             || self.acting(&view)[0].0.mode == Mode::Starting
         {
@@ -146,15 +147,15 @@
     }
 
     /// What this gateway acts on by each register, and when and why that last changed.
-    pub(in crate::net) fn acting(&self, view: &View) -> [(Acting, (Ms, &'static str)); 2] {
+    pub(in crate::net) fn acting(&self, view: &View) -> [(EffectiveState, (Ms, &'static str)); 2] {
         let now = self.now();
-        let mut settings = view.settings.state.told_at(now);
+        let mut settings = view.settings.state.effective_with_change_at(now);
         // Danger: a version agreed that is not the one acted on here (it could not be taken) would be claimed while
         // other rules are kept: this gateway counts as safe.
         if settings.0.mode == Mode::Active && settings.0.active != self.taken.settings {
             (settings.0.mode, settings.1 .1) = (Mode::Safe, "the agreed version cannot be taken here");
         }
-        [settings, view.hosts.state.told_at(now)]
+        [settings, view.hosts.state.effective_with_change_at(now)]
     }
 
     /// Logs one JSON event for each register whose mode or version changed. The event's `unix_ms` is the moment of
@@ -170,7 +171,7 @@
             // What is told later happened later: a renewal may come to the loop after it took the lease for run out.
             let at = at.max(before);
             self.logged[n] = (acting.mode, acting.active, at);
-            let lapsed = [&view.settings.state, &view.hosts.state][n].lapsed;
+            let lapsed = [&view.settings.state, &view.hosts.state][n].lease_expired_at;
             if let Some(lapsed) =
                 lapsed.filter(|lapsed| mode == Mode::Active && (before..at).contains(lapsed))
             {
@@ -191,7 +192,7 @@
     /// What operators are told when they ask for versions: a line a register, then the members.
     pub(in crate::net) fn versions(&self, number: (u32, u32)) -> String {
         let view = self.view();
-        let told = view.members.unwrap_or(Told::ALONE);
+        let told = view.members.unwrap_or(MembershipView::ISOLATED);
         let mut text = String::new();
         for (name, (acting, (at, why))) in REGISTERS.iter().zip(self.acting(&view)) {
             let version =
@@ -200,7 +201,7 @@
             let (mode, active, pending) = (acting.mode, version(acting.active), version(acting.pending));
             text += &format!("{name} {mode} {active} pending {pending} for {since} ms: {why}\n");
         }
-        let (alone, (gateways, ordinal)) = (u8::from(told.alone), number);
+        let (alone, (gateways, ordinal)) = (u8::from(told.isolated), number);
         text + &format!(
             "members {} suspected {} alone {alone} quotas divided by {gateways} own number {ordinal}\n",
             told.gateways, told.suspected
@@ -217,11 +218,11 @@
             let start = format!("switchhill_agreement_{name}");
             text += &format!("{start}_epoch {epoch}\n{start}_digest {digest}\n{start}_safe {safe}\n");
         }
-        let told = view.members.unwrap_or(Told::ALONE);
+        let told = view.members.unwrap_or(MembershipView::ISOLATED);
         let figures = [
             ("members", told.gateways),
             ("suspected", told.suspected),
-            ("alone", u32::from(told.alone)),
+            ("alone", u32::from(told.isolated)),
             ("told_number", number.0),
             ("told_ordinal", number.1),
             ("hosts_held_out", held_out as u32),
--- a/src/net/agreement/view.rs
+++ b/src/net/agreement/view.rs
@@ -3,18 +3,18 @@
 use super::wire::Wire;
 use std::sync::Arc;
 use switchhill_agreement::hosts::Hosts;
-use switchhill_agreement::{Register, State, Told, Version};
+use switchhill_agreement::{MembershipView, Register, RegisterSnapshot, Version};
 
 /// One register as the thread publishes it, with the contents of its active and pending versions where held.
 #[derive(Clone, Debug)]
 pub(in crate::net) struct Published<T> {
-    pub(in crate::net) state: State,
+    pub(in crate::net) state: RegisterSnapshot,
     contents: Vec<(Version, Arc<T>)>,
 }
 
 impl<T> Default for Published<T> {
     fn default() -> Self {
-        Self { state: State::default(), contents: Vec::new() }
+        Self { state: RegisterSnapshot::default(), contents: Vec::new() }
     }
 }
 
@@ -31,7 +31,7 @@
         wire: &Wire,
         make: impl Fn(&Arc<Vec<u8>>) -> Option<Arc<T>>,
     ) -> Self {
-        let state = register.state();
+        let state = register.snapshot();
         let versions = [state.active, state.pending.map(|(version, _)| version), register.highest()];
         let mut contents: Vec<(Version, Arc<T>)> = Vec::new();
         for version in versions.into_iter().flatten() {
@@ -50,5 +50,5 @@
 pub(in crate::net) struct View {
     pub(in crate::net) settings: Published<Vec<u8>>,
     pub(in crate::net) hosts: Published<Hosts>,
-    pub(super) members: Option<Told>,
+    pub(super) members: Option<MembershipView>,
 }
--- a/src/net/agreement/wire.rs
+++ b/src/net/agreement/wire.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use switchhill_agreement::{digest, Answer, Listed, Ms, Proposed, Version};
+use switchhill_agreement::{digest, ListedMember, Ms, ProposalOutcome, ReadReply, Version};
 
 /// What begins every key where an operator names nothing else.
 pub const PREFIX: &str = "agreement";
@@ -75,7 +75,7 @@
     }
 
     /// `GET` the pointer and `PTTL` the announcement, then fetch a content not yet held.
-    pub fn read(&mut self) -> Result<Answer, String> {
+    pub fn read(&mut self) -> Result<ReadReply, String> {
         let (pointer_key, settle_key) = (self.pointer_key(), self.settle_key());
         let answers =
             self.call(&[vec![b"GET", pointer_key.as_bytes()], vec![b"PTTL", settle_key.as_bytes()]])?;
@@ -94,7 +94,7 @@
             }
             content = self.content(version).is_some();
         }
-        Ok(Answer { pointer, settle_ms, content })
+        Ok(ReadReply { pointer, settle_ms, content_available: content })
     }
 
     /// Keeps a content where it matches `version`'s digest: the only place it is hashed.
@@ -109,8 +109,8 @@
     }
 
     /// The compare-and-set of a proposal: content first, then the pointer and the announcement in one `EXEC`.
-    pub fn propose(&mut self, version: Version, over: Option<Version>, announce_ms: Ms) -> Proposed {
-        let Some(bytes) = self.offered.get(&version.digest).cloned() else { return Proposed::Lost };
+    pub fn propose(&mut self, version: Version, over: Option<Version>, announce_ms: Ms) -> ProposalOutcome {
+        let Some(bytes) = self.offered.get(&version.digest).cloned() else { return ProposalOutcome::Lost };
         self.change(version, announce_ms, &bytes, |stored, pttl| stored == over && pttl <= 0)
     }
 
@@ -118,7 +118,7 @@
     pub fn restore(&mut self, version: Version, settle_ms: Ms) -> bool {
         let Some(bytes) = self.content(version).cloned() else { return false };
         let lower = |stored: Option<Version>, _| stored.is_none_or(|stored| stored.epoch < version.epoch);
-        self.change(version, settle_ms, &bytes, lower) == Proposed::Won
+        self.change(version, settle_ms, &bytes, lower) == ProposalOutcome::Won
     }
 
     fn change(
@@ -127,10 +127,10 @@
         settle_ms: Ms,
         bytes: &[u8],
         allowed: impl Fn(Option<Version>, i64) -> bool,
-    ) -> Proposed {
+    ) -> ProposalOutcome {
         let (pointer_key, settle_key) = (self.pointer_key(), self.settle_key());
         let content_key = self.content_key(version.epoch);
-        let (stored, settle) = (version.stored(), settle_ms.to_string());
+        let (stored, settle) = (version.encode(), settle_ms.to_string());
         // Danger: the content goes in with the pointer, inside EXEC; written before the compare, a losing proposal
         // would overwrite the winner's content under the same epoch.
         let first = self.call(&[
@@ -138,12 +138,12 @@
             vec![b"GET", pointer_key.as_bytes()],
             vec![b"PTTL", settle_key.as_bytes()],
         ]);
-        let Ok(first) = first else { return Proposed::Lost };
+        let Ok(first) = first else { return ProposalOutcome::Lost };
         let now = bulk(&first[1]).and_then(|text| Version::parse(&String::from_utf8_lossy(&text)));
         let pttl = if let OwnedFrame::Integer(left) = first[2] { left } else { -2 };
         if !allowed(now, pttl) {
             let _ = self.call(&[vec![b"UNWATCH"]]);
-            return Proposed::Lost;
+            return ProposalOutcome::Lost;
         }
         let done = self.call(&[
             vec![b"MULTI"],
@@ -155,15 +155,15 @@
         match done.as_deref() {
             Ok([.., OwnedFrame::Array(_)]) => {
                 self.keep(version, Arc::new(bytes.to_vec()));
-                Proposed::Won
+                ProposalOutcome::Won
             }
-            _ => Proposed::Lost,
+            _ => ProposalOutcome::Lost,
         }
     }
 
     /// Renews this member's key and lists the members whose keys live, in one round trip: the beats of those that
     /// the listing before named; who is new comes with the next.
-    pub fn members(&mut self, me: &str, lease_ms: Ms) -> Result<Vec<Listed>, String> {
+    pub fn members(&mut self, me: &str, lease_ms: Ms) -> Result<Vec<ListedMember>, String> {
         let (mine, lease) = (self.member_key(me), lease_ms.to_string());
         let set = self.members_key();
         self.beat += 1;
@@ -189,7 +189,7 @@
         let (mut listed, mut gone) = (Vec::new(), Vec::new());
         for (id, beat) in self.known.iter().zip(beats) {
             match bulk(beat).and_then(|beat| String::from_utf8_lossy(&beat).parse().ok()) {
-                Some(beat) => listed.push(Listed { id: id.clone(), beat }),
+                Some(beat) => listed.push(ListedMember { id: id.clone(), heartbeat: beat }),
                 None if id != me => gone.push(id.as_bytes()),
                 None => {}
             }
