--- a/crates/membership/src/contact.rs
+++ b/crates/membership/src/contact.rs
@@ -1,37 +1,38 @@
-//! What a node knows of one other node.
+//! State kept about one other node.
 
 use std::collections::VecDeque;
 
-/// Heartbeats whose sending time is remembered, to read echoes by.
+/// Number of sent heartbeats whose send time is kept to resolve echoes.
 const REMEMBERED_HEARTBEATS: usize = 32;
 
-/// What a heartbeat tells of its sender.
+/// A heartbeat received from another node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedHeartbeat {
     /// Identity of the sender.
     pub id: u64,
     /// Internal address of the sender.
     pub address: String,
-    /// Name of the sender's machine.
+    /// Name of the sender's host.
     pub node: String,
-    /// Random number of the sender's life.
+    /// Random number that identifies the sender's process run.
     pub incarnation: u64,
-    /// Sequence of the heartbeat within that life.
+    /// Sequence number of the heartbeat within that incarnation.
     pub sequence: u64,
-    /// Sequence of ours that it echoes, if it echoes one of this life.
+    /// Sequence number echoed from this node's current incarnation, if any.
     pub echo: Option<u64>,
-    /// What the sender says of itself.
+    /// Status that the sender reports.
     pub status: PeerStatus,
 }
 
-/// What a node says of itself in its heartbeats.
+/// Status that a node reports in its heartbeats.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Zone of its machine, empty if not told.
+    /// Zone of the host; empty if unknown.
     pub zone: String,
-    /// Whether it is in contact with a quorum, has read the register in this life and has a ballot to propose with.
+    /// Whether the node is in contact with a quorum, has read the register since regaining that contact and has a
+    /// ballot to propose with.
     pub in_quorum: bool,
-    /// Whether it was told to end and waits to be dropped from the electorate.
+    /// Whether the node is shutting down and waits for its removal from the electorate.
     pub leaving: bool,
 }
 
@@ -40,30 +41,30 @@
 pub struct Contact {
     /// Internal address.
     pub address: String,
-    /// Name of its machine.
+    /// Name of the node's host.
     pub node: String,
-    /// Random number of its present life.
+    /// Random number that identifies the node's current process run.
     pub incarnation: u64,
-    /// When its present life was first heard, in milliseconds.
+    /// Time of the first heartbeat from the current incarnation, in milliseconds.
     pub first_heard_at: u64,
-    /// Its newest sequence.
+    /// Highest sequence number received from the current incarnation.
     pub sequence: u64,
-    /// When it was last heard, in milliseconds.
+    /// Time at which the newest heartbeat was received, in milliseconds.
     pub last_heard_at: u64,
-    /// Latest time at which it is certain to have heard this node, in milliseconds; `None` if never.
+    /// Send time of this node's latest heartbeat that the other node echoed, in milliseconds; `None` if there is none.
     pub confirmed_at: Option<u64>,
-    /// What it said of itself in its newest heartbeat.
+    /// Status reported in the newest heartbeat.
     pub status: PeerStatus,
 }
 
-/// Times at which this node's heartbeats were sent.
+/// Send times of this node's recent heartbeats.
 #[derive(Debug, Default)]
 pub(crate) struct SentHeartbeats {
     sent: VecDeque<(u64, u64)>,
 }
 
 impl SentHeartbeats {
-    /// Remembers a heartbeat.
+    /// Records a sent heartbeat and drops the oldest beyond the limit.
     pub(crate) fn record(&mut self, sequence: u64, now: u64) {
         self.sent.push_back((sequence, now));
         if self.sent.len() > REMEMBERED_HEARTBEATS {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// When a heartbeat was sent, if that is remembered.
+    /// Returns the send time of a heartbeat, if it is still kept.
     pub(crate) fn sent_at(&self, sequence: u64) -> Option<u64> {
         self.sent.iter().find(|(number, _)| *number == sequence).map(|(_, at)| *at)
     }
--- a/crates/membership/src/contacts.rs
+++ b/crates/membership/src/contacts.rs
@@ -1,25 +1,26 @@
-//! All other nodes that a node knows.
+//! Table of the other nodes known to this node.
 
 use crate::contact::{Contact, ReceivedHeartbeat, SentHeartbeats};
 use std::collections::BTreeMap;
 
-/// Times of the membership, in milliseconds.
+/// Intervals and timeouts of the heartbeat protocol, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct ContactSettings {
-    /// Time between two heartbeats to the same node.
+    /// Heartbeat interval while in contact with a quorum.
     pub heartbeat_interval_ms: u64,
-    /// The same while the node seeks contact with a quorum.
+    /// Heartbeat interval while the node seeks contact with a quorum.
     pub seeking_interval_ms: u64,
-    /// Age of the last confirmed contact beyond which a node counts as out of contact.
+    /// Age of the last confirmation beyond which a node is out of contact.
     pub contact_timeout_ms: u64,
-    /// Silence after which a node is taken for down.
+    /// Time without a heartbeat after which a node is considered down.
     pub down_timeout_ms: u64,
-    /// Silence after which a node is forgotten.
+    /// Time without a heartbeat after which a node is removed from the table.
     pub forget_timeout_ms: u64,
 }
 
 impl Default for ContactSettings {
-    /// Four heartbeats may be lost before contact is; a freeze shorter than `down_timeout_ms` moves no role.
+    /// `contact_timeout_ms` tolerates four lost heartbeats. A freeze shorter than `down_timeout_ms` causes no role to
+    /// be reassigned.
     fn default() -> Self {
         ContactSettings {
             heartbeat_interval_ms: 200,
@@ -31,13 +32,11 @@
     }
 }
 
-/// All other nodes that this node knows, by identity.
+/// The other nodes known to this node, keyed by identity.
 #[derive(Debug)]
 pub struct Contacts {
     settings: ContactSettings,
-    /// Identity of this node.
     self_id: u64,
-    /// Random number of this life.
     incarnation: u64,
     sequence: u64,
     sent: SentHeartbeats,
@@ -46,7 +45,7 @@
 }
 
 impl Contacts {
-    /// A node that knows no other yet.
+    /// Creates an empty table for the node `self_id`.
     pub fn new(self_id: u64, incarnation: u64, settings: ContactSettings) -> Contacts {
         Contacts {
             settings,
@@ -59,27 +58,28 @@
         }
     }
 
-    /// The times.
+    /// Returns the intervals and timeouts in use.
     pub fn settings(&self) -> &ContactSettings {
         &self.settings
     }
 
-    /// Random number of this life.
+    /// Returns the random number that identifies this process run.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Whether heartbeats are due; if so their sequence. They are sent more often as long as contact is sought.
+    /// Returns the sequence number of the next heartbeat if one is due. The shorter interval applies while the node
+    /// seeks contact with a quorum.
     pub fn heartbeat_due(&mut self, now: u64, seeking: bool) -> Option<u64> {
-        let every =
+        let interval =
             if seeking { self.settings.seeking_interval_ms } else { self.settings.heartbeat_interval_ms };
-        if now < self.last_heartbeat.map_or(0, |last| last + every) {
+        if now < self.last_heartbeat.map_or(0, |last| last + interval) {
             return None;
         }
         Some(self.next_heartbeat(now))
     }
 
-    /// Sequence of a heartbeat that is sent now, due or not.
+    /// Returns the sequence number of a heartbeat that is sent now, whether or not one is due.
     pub fn next_heartbeat(&mut self, now: u64) -> u64 {
         self.last_heartbeat = Some(now);
         self.sequence += 1;
@@ -93,84 +93,85 @@
         self.contacts.retain(|_, contact| contact.last_heard_at >= oldest);
     }
 
-    /// Takes in a heartbeat. A late one of the same life changes nothing but the confirmation.
-    pub fn receive_heartbeat(&mut self, now: u64, heard: ReceivedHeartbeat) {
-        if heard.id == self.self_id {
+    /// Processes a received heartbeat. One that arrives out of order within an incarnation updates only the
+    /// confirmation time.
+    pub fn receive_heartbeat(&mut self, now: u64, heartbeat: ReceivedHeartbeat) {
+        if heartbeat.id == self.self_id {
             return;
         }
-        let confirmed_at = heard.echo.and_then(|sequence| self.sent.sent_at(sequence));
-        self.remove_replaced_at_address(&heard);
-        let contact = self.contacts.entry(heard.id).or_insert_with(|| Contact {
-            address: heard.address.clone(),
-            node: heard.node.clone(),
-            incarnation: heard.incarnation,
+        let confirmed_at = heartbeat.echo.and_then(|sequence| self.sent.sent_at(sequence));
+        self.remove_replaced_at_address(&heartbeat);
+        let contact = self.contacts.entry(heartbeat.id).or_insert_with(|| Contact {
+            address: heartbeat.address.clone(),
+            node: heartbeat.node.clone(),
+            incarnation: heartbeat.incarnation,
             first_heard_at: now,
             sequence: 0,
             last_heard_at: now,
             confirmed_at: None,
-            status: heard.status.clone(),
+            status: heartbeat.status.clone(),
         });
-        if contact.incarnation != heard.incarnation {
-            contact.incarnation = heard.incarnation;
+        if contact.incarnation != heartbeat.incarnation {
+            contact.incarnation = heartbeat.incarnation;
             contact.first_heard_at = now;
             contact.sequence = 0;
             contact.confirmed_at = None;
         }
-        if heard.sequence > contact.sequence {
-            contact.sequence = heard.sequence;
+        if heartbeat.sequence > contact.sequence {
+            contact.sequence = heartbeat.sequence;
             contact.last_heard_at = now;
-            contact.address = heard.address;
-            contact.node = heard.node;
-            contact.status = heard.status;
+            contact.address = heartbeat.address;
+            contact.node = heartbeat.node;
+            contact.status = heartbeat.status;
         }
         contact.confirmed_at = contact.confirmed_at.max(confirmed_at);
     }
 
-    /// An address belongs to the identity heard there last: a disk that was lost gives a new one.
-    fn remove_replaced_at_address(&mut self, heard: &ReceivedHeartbeat) {
-        let id = heard.id;
-        self.contacts.retain(|other, contact| *other == id || contact.address != heard.address);
+    /// Removes other identities at the sender's address: a node that lost its disk returns under a new identity.
+    fn remove_replaced_at_address(&mut self, heartbeat: &ReceivedHeartbeat) {
+        let id = heartbeat.id;
+        self.contacts.retain(|other, contact| *other == id || contact.address != heartbeat.address);
     }
 
-    /// What is to be echoed: identity, life and newest sequence of each node.
+    /// Returns the nodes whose incarnation and newest sequence number are echoed in heartbeats.
     pub fn echoes(&self) -> impl Iterator<Item = (u64, &Contact)> {
         self.contacts.iter().map(|(id, contact)| (*id, contact))
     }
 
-    /// A node.
+    /// Returns a node by identity.
     pub fn get(&self, id: u64) -> Option<&Contact> {
         self.contacts.get(&id)
     }
 
-    /// All nodes.
+    /// Returns all known nodes with their identities.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &Contact)> {
         self.echoes()
     }
 
-    /// Whether a node is heard.
+    /// Whether a heartbeat from the node arrived within the down timeout.
     pub fn is_up(&self, now: u64, id: u64) -> bool {
         self.contacts
             .get(&id)
             .is_some_and(|contact| now < contact.last_heard_at + self.settings.down_timeout_ms)
     }
 
-    /// How long a node has been silent, in milliseconds; `None` for one not known.
+    /// Returns the time since the node's newest heartbeat in milliseconds, or `None` if the node is unknown.
     pub fn silent_for(&self, now: u64, id: u64) -> Option<u64> {
         self.contacts.get(&id).map(|contact| now.saturating_sub(contact.last_heard_at))
     }
 
-    /// Whether a node was certain to hear this node a short time ago.
+    /// Whether the node has confirmed contact within the contact timeout.
     pub fn is_in_contact(&self, now: u64, id: u64) -> bool {
         let oldest = now.saturating_sub(self.settings.contact_timeout_ms);
         self.contacts.get(&id).is_some_and(|contact| contact.confirmed_at.is_some_and(|at| at >= oldest))
     }
 
-    /// Nodes that were certain to hear this node a short time ago, this node included.
+    /// Returns the nodes with confirmed contact within the contact timeout, including this node.
     pub fn in_contact(&self, now: u64) -> impl Iterator<Item = u64> + '_ {
         self.in_contact_within(now, self.settings.contact_timeout_ms)
     }
 
-    /// Nodes that were certain to hear this node within a time in milliseconds, this node included.
+    /// Returns the nodes with confirmed contact within `within` milliseconds, including this node.
     pub fn in_contact_within(&self, now: u64, within: u64) -> impl Iterator<Item = u64> + '_ {
         let oldest = now.saturating_sub(within);
         let others = self
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Members of the core: heartbeats, who is heard both ways, quorum contact.
+//! Membership of the core nodes: heartbeats, two-way reachability and quorum contact.
 //!
-//! Core nodes send each other heartbeats that echo the last one received. From the echoes a node knows until when each
-//! other node is certain to have heard it: the time at which it sent the heartbeat that came back. Only that counts as
-//! contact, so a link that works one way is no contact, and a frozen node finds on waking that its contacts are old.
+//! Each heartbeat echoes the last heartbeat received from every other node. An echo proves that its sender received
+//! this node's heartbeat, so contact is confirmed as of the time that heartbeat was sent. Contact requires such a
+//! confirmation: a one-way link does not count, and a process resumed after a freeze finds its confirmations expired.
 
 mod contact;
 mod contacts;
--- a/crates/membership/tests/contacts.rs
+++ b/crates/membership/tests/contacts.rs
@@ -1,4 +1,4 @@
-//! Contact is what comes back, not what is heard.
+//! Contact is confirmed by echoes, not by received heartbeats alone.
 
 use googletest::prelude::*;
 use std::collections::BTreeSet;
@@ -18,7 +18,7 @@
 }
 
 #[gtest]
-fn a_node_that_is_only_heard_is_not_in_contact() {
+fn receiving_heartbeats_without_an_echo_is_not_contact() {
     let mut contacts = contacts();
     contacts.heartbeat_due(0, false);
     contacts.receive_heartbeat(10, heartbeat(2, 1, None));
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn an_echo_confirms_the_time_of_sending_and_not_of_receiving() {
+fn an_echo_confirms_the_send_time_and_not_the_receive_time() {
     let mut contacts = contacts();
     let sequence = contacts.heartbeat_due(0, false).unwrap();
     contacts.receive_heartbeat(700, heartbeat(2, 1, Some(sequence)));
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn a_restarted_node_must_confirm_anew() {
+fn a_restarted_node_loses_its_confirmation() {
     let mut contacts = contacts();
     let sequence = contacts.heartbeat_due(0, false).unwrap();
     contacts.receive_heartbeat(10, heartbeat(2, 9, Some(sequence)));
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn another_identity_at_an_address_ends_the_older_one() {
+fn a_new_identity_at_an_address_replaces_the_old_one() {
     let mut contacts = contacts();
     contacts.receive_heartbeat(10, heartbeat(2, 1, None));
     let wiped = ReceivedHeartbeat { id: 3, address: "10.0.0.2:1".into(), ..heartbeat(3, 1, None) };
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn heartbeats_come_more_often_while_contact_is_sought() {
+fn heartbeats_are_sent_more_often_while_seeking_contact() {
     let mut contacts = contacts();
     expect_that!(contacts.heartbeat_due(0, true), some(eq(1)));
     expect_that!(contacts.heartbeat_due(74, true), none());
