--- a/crates/agreement/src/hosts.rs
+++ b/crates/agreement/src/hosts.rs
@@ -1,28 +1,28 @@
-//! The content of the hosts register: discovery's list with its revision, and the hosts called out by operators.
+//! Content of the hosts register: the discovery list with its revision, and the hosts cordoned by operators.
 //!
-//! A content is composed anew for each proposal from the newest one agreed, this gateway's own listing and the
-//! wishes that operators called in here, so that a proposal that lost is made again over the winner's content and
-//! two gateways' wishes never undo each other.
+//! Each proposal is composed from the newest agreed content, this gateway's own listing and the cordon requests made
+//! at this gateway. A lost proposal is thus recomposed over the winner's content, and requests made at two gateways
+//! do not overwrite each other.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Hosts that may be called out at once, and wishes that may wait; as many as a gateway keeps without agreement.
+/// Maximum number of cordoned hosts and of pending cordon requests; equal to a gateway's limit without agreement.
 pub const MAX_CORDONS: usize = 1024;
 
 /// One host of a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// It takes requests; a host that drains does not.
+    /// Whether the host accepts requests; false while it is draining.
     pub ready: bool,
-    /// Everything else that a gateway needs of it, in the gateway's own form.
+    /// All other data about the host, in the gateway's own encoding.
     pub body: String,
 }
 
-/// Orders lists: discovery's revision, under a generation that grows when discovery begins anew.
+/// Orders listings: a generation, which increases when discovery's revisions restart, and discovery's revision.
 pub type Stamp = (u64, u64);
 
-/// A list of hosts as discovery told it to one gateway.
+/// A list of hosts as one gateway received it from discovery.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
     /// Generation and revision.
@@ -38,40 +38,40 @@
     pub stamp: Stamp,
     /// The hosts by id.
     pub hosts: BTreeMap<String, Host>,
-    /// Hosts called out by operators.
+    /// Hosts cordoned by operators.
     pub cordons: BTreeSet<String>,
 }
 
-/// What an operator called in, by host: true to leave it out, false to put it back. The last call counts.
+/// Cordon requests by host: true to cordon, false to uncordon. A later request for a host replaces the earlier one.
 pub type CordonRequests = BTreeMap<String, bool>;
 
 impl Hosts {
-    /// Reads the stored form, JSON.
+    /// Parses the stored JSON form.
     ///
     /// # Errors
-    /// What is wrong with it, and where.
+    /// Returns the cause and position of the parse error.
     pub fn parse(bytes: &[u8]) -> Result<Hosts, String> {
         serde_json::from_slice(bytes).map_err(|e| e.to_string())
     }
 
-    /// The stored form: the same bytes for the same content at every gateway, since every map is sorted.
+    /// Encodes the content as JSON. All maps are sorted, so equal contents have the same bytes at every gateway.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Every host that this content holds out.
+    /// Returns the hosts that are cordoned or draining in this content.
     pub fn excluded(&self) -> impl Iterator<Item = &String> {
         let draining = self.hosts.iter().filter(|(_, host)| !host.ready).map(|(id, _)| id);
         self.cordons.iter().chain(draining)
     }
 }
 
-/// The next content over `base`, or `None` where `base` already says all of it: a newer listing of this gateway
-/// replaces the list, the wishes change the cordons. A base with no list yet takes any listing.
+/// Composes the next content over `base`, or returns `None` if nothing changes. A newer listing of this gateway
+/// replaces the host list, and the requests change the cordons. Without a base, any listing is accepted.
 pub fn compose(base: Option<&Hosts>, own: Option<&Listing>, requests: &CordonRequests) -> Option<Hosts> {
     let mut next = base.cloned().unwrap_or_default();
     if let Some(own) = own {
-        // Danger: an older list taken for news would bring back hosts that are gone, at every gateway.
+        // An older list would restore removed hosts at every gateway.
         if base.is_none() || own.stamp > next.stamp {
             (next.stamp, next.hosts) = (own.stamp, own.hosts.clone());
         }
@@ -86,15 +86,15 @@
     (base != Some(&next) && (base.is_some() || own.is_some())).then_some(next)
 }
 
-/// The wishes that `content` does not fulfil yet.
+/// Returns the requests that `content` does not yet reflect.
 pub fn pending_requests(content: Option<&Hosts>, mut requests: CordonRequests) -> CordonRequests {
     requests.retain(|id, out| content.is_none_or(|content| content.cordons.contains(id) != *out));
     requests
 }
 
-/// Every host that a gateway must leave out, whatever its own list says: held out by the version acted on, by one
-/// announced, or by a wish called in here. The stricter of all three, in every mode: what restricts holds at once,
-/// what relaxes waits until no version that may be acted on anywhere restricts it.
+/// Returns the hosts that a gateway must exclude regardless of its own list: those excluded by the version in force,
+/// by an announced version or by a local cordon request. This is the union in every mode: a restriction applies at
+/// once, and a relaxation only when no version that may be in force at any gateway still restricts the host.
 pub fn excluded_hosts<'a>(
     versions: impl IntoIterator<Item = &'a Hosts>,
     requests: &CordonRequests,
@@ -105,26 +105,27 @@
     out
 }
 
-/// How long discovery must keep to an older revision than the agreed one before its list counts as a new beginning.
+/// Time for which discovery must report revisions older than the agreed one before they count as a restarted sequence.
 pub const REVISION_RESET_MS: crate::Ms = 30_000;
 
-/// Stamps discovery's lists: under the agreed generation, or the next one where discovery has begun anew.
+/// Assigns stamps to discovery's lists: in the agreed generation, or in the next one after discovery's revisions
+/// restarted.
 #[derive(Debug, Default)]
 pub struct RevisionTracker {
     stale_since: Option<crate::Ms>,
 }
 
-/// What to make of a list.
+/// Order of a list relative to the agreed one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListingOrder {
-    /// Take it, under this stamp.
+    /// The list is to be accepted under this stamp.
     Current(Stamp),
-    /// Older than the agreed one: keep what is agreed.
+    /// The list is older than the agreed one, which is kept.
     Stale,
 }
 
 impl RevisionTracker {
-    /// A list of `revision` came at `now` while a list of stamp `agreed` is in force.
+    /// Classifies a list of `revision`, received at `now`, against the list with stamp `agreed` in force.
     pub fn classify(&mut self, now: crate::Ms, revision: u64, agreed: Option<Stamp>) -> ListingOrder {
         let Some((generation, newest)) = agreed else { return ListingOrder::Current((0, revision)) };
         if revision >= newest {
@@ -135,7 +136,8 @@
         if now.saturating_sub(since) < REVISION_RESET_MS {
             return ListingOrder::Stale;
         }
-        // Danger: discovery restarted with lower revisions would else never be heard again.
+        // Without a new generation, lists of a discovery service that restarted with lower revisions would be rejected
+        // forever.
         self.stale_since = None;
         ListingOrder::Current((generation + 1, revision))
     }
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -1,14 +1,14 @@
-//! Versions of settings and host lists that every gateway acts on together, through a register in the shared store.
+//! Coordinated activation of settings and host list versions across gateways, through a register in the shared store.
 //!
-//! A register holds one kind of shared state under a version `(epoch, digest)`. A change is announced in the
-//! store for [`Settings::announce_ms`] and becomes active, at every gateway that confirmed it, at the moment the
-//! announcement runs out, as the store's `PTTL` tells: the store's clock is the only common moment, so no two
-//! processes' clocks need to agree. A gateway that has not confirmed the register within its lease goes to
-//! [`Mode::Safe`], which is never looser than any version it knows. The bound on disagreement follows:
-//! two gateways both [`Mode::Active`] on different versions for at most [`Settings::bound_ms`].
+//! A register holds one kind of shared state under a version `(epoch, digest)`. A change is announced in the store
+//! for [`Settings::announce_ms`] and becomes active at every gateway that confirmed it when the announcement key
+//! expires. Each gateway derives that time from `PTTL`, so the store's clock is the only common reference and process
+//! clocks need not be synchronized. A gateway that has not confirmed the register within its lease enters
+//! [`Mode::Safe`], which is never more permissive than any version it knows. Two gateways are therefore both
+//! [`Mode::Active`] on different versions for at most [`Settings::bound_ms`].
 //!
-//! Everything here is a state machine without I/O. The caller tells what happened and when (milliseconds of its
-//! monotonic clock) and carries out what comes back; see `docs/design/agreement.md`.
+//! The crate is a state machine without I/O. The caller reports events with the time of its monotonic clock in
+//! milliseconds and carries out the returned actions; see `docs/design/agreement.md`.
 //!
 //! ```
 //! use switchhill_agreement::{Mode, ReadReply, Register, Settings, Version};
@@ -29,13 +29,13 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// A moment or a span on the caller's monotonic clock, in milliseconds.
+/// A time or duration on the caller's monotonic clock, in milliseconds.
 pub type Ms = u64;
 
-/// One version of a register's content: the epoch only grows, the digest names the content.
+/// Version of a register's content: a monotonically increasing epoch and the digest of the content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Version {
-    /// Grows by one with each change; an epoch lower than one seen is never taken again.
+    /// Increases by one with each change. An epoch lower than the highest one seen is rejected.
     pub epoch: u64,
     /// [`digest`] of the content.
     pub digest: u64,
@@ -58,36 +58,36 @@
 }
 
 impl Version {
-    /// Reads the store's form, `EPOCH DIGEST` with the digest in hexadecimal.
+    /// Parses the stored form, `EPOCH DIGEST` with the digest in hexadecimal.
     pub fn parse(text: &str) -> Option<Version> {
         let (epoch, digest) = text.trim().split_once(' ')?;
         Some(Version { epoch: epoch.parse().ok()?, digest: u64::from_str_radix(digest, 16).ok()? })
     }
 
-    /// The store's form, read by [`Version::parse`].
+    /// Encodes the version in the form that [`Version::parse`] reads.
     pub fn encode(&self) -> String {
         format!("{} {:016x}", self.epoch, self.digest)
     }
 }
 
-/// The digest of a content: SipHash-1-3 with fixed keys, the same at every gateway and in every release.
+/// Computes the digest of a content: SipHash-1-3 with fixed keys, identical on every gateway and in every release.
 pub fn digest(content: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x7377_6974_6368_6869, 0x6c6c_2d61_6772_6565);
     hasher.write(content);
     hasher.finish()
 }
 
-/// The protocol's times. All are milliseconds of each process's monotonic clock.
+/// Intervals and timeouts of the protocol, in milliseconds of each process's monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How often the register is read. Range 10 to 10,000.
+    /// Interval between reads of the register. Range 10 to 10,000.
     pub period_ms: Ms,
-    /// A read answered later than this after it was sent confirms nothing: its moment is too uncertain.
-    /// At most `period_ms`. This is the bound on disagreement.
+    /// Longest round trip of a read that renews the lease; the time at which the store processed a slower read is too
+    /// uncertain. At most `period_ms`. The bound on disagreement derives from it, see [`Settings::bound_ms`].
     pub read_timeout_ms: Ms,
-    /// How long a confirmation holds. At least `2 * period_ms`.
+    /// Lease duration: how long a confirmation is valid. At least `2 * period_ms`.
     pub lease_ms: Ms,
-    /// How long an announcement lives before its version is active. Over `lease_ms + period_ms`.
+    /// Time from the announcement of a version to its activation. More than `lease_ms + period_ms`.
     pub announce_ms: Ms,
 }
 
@@ -98,7 +98,7 @@
 }
 
 impl Settings {
-    /// Checks the relations that the bound rests on; the error names the field.
+    /// Checks the relations that the bound on disagreement depends on; the error names the field.
     pub fn check(&self) -> Result<(), String> {
         if !(10..=10_000).contains(&self.period_ms) {
             return Err(format!("period_ms: {} is not within 10 to 10000", self.period_ms));
@@ -115,134 +115,137 @@
         Ok(())
     }
 
-    /// The longest that two gateways act on contradicting versions, as the design proves it: one read's round trip
-    /// (`read_timeout_ms`), and one more where the store lost the register during an announcement and it was given
-    /// back with what was left of it.
+    /// Longest time that two gateways can be active on different versions, as proved in the design: one read's round
+    /// trip (`read_timeout_ms`), plus a second one if the store lost the register during an announcement and a gateway
+    /// restored it with the remaining announcement time.
     pub fn bound_ms(&self) -> Ms {
         2 * self.read_timeout_ms
     }
 }
 
-/// What a gateway acts on.
+/// Mode of a register at one gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Not yet confirmed once since the start: safe, and nothing known to be current.
+    /// No confirmed read since the start: restricted as in safe mode, with no version known to be current.
     #[default]
     Starting,
-    /// Acting on [`EffectiveState::active`], confirmed within the lease.
+    /// [`EffectiveState::active`] applies and was confirmed within the lease.
     Active,
-    /// Not confirmed within the lease, or content that could not be had: the stricter of all versions known.
+    /// The lease expired, for example because the content was unavailable: the strictest combination of the known
+    /// versions applies.
     Safe,
 }
 
-/// The state a gateway's decisions read.
+/// Mode and versions that a gateway's decisions are based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EffectiveState {
-    /// Active, safe or starting.
+    /// The current mode.
     pub mode: Mode,
-    /// The version acted on while Active; in Safe mode the last one that was.
+    /// The version in force while active; in safe mode the last one in force.
     pub active: Option<Version>,
-    /// A version announced and not yet active; in Safe mode it counts beside `active`, the stricter of the two.
+    /// A version announced and not yet active; in safe mode the stricter of it and `active` applies.
     pub pending: Option<Version>,
 }
 
-/// A register's state as of its last event, for a reader on another thread whose clock runs on.
+/// A register's state as of its last event, from which another thread computes the effective state at a later time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RegisterSnapshot {
     /// The mode as of the last event.
     pub mode: Mode,
-    /// The version acted on as of the last event.
+    /// The version in force as of the last event.
     pub active: Option<Version>,
-    /// A version announced and the moment it becomes active.
+    /// An announced version and its activation time.
     pub pending: Option<(Version, Ms)>,
-    /// The end of the lease.
+    /// Last millisecond at which the lease is valid.
     pub lease_expires_at: Option<Ms>,
-    /// The last change of mode or version: when, and why in a few words.
+    /// Time and short reason of the last change of mode or version.
     pub last_change: (Ms, &'static str),
-    /// When a lease last ran out. A process woken from a stop may be confirmed again before its loop has looked: it
-    /// decided nothing in between, and was safe from this moment on.
+    /// Time at which a lease last expired. A process resumed after a stop may be confirmed again before its event loop
+    /// sees the expiry; the loop made no decisions in between, and the gateway counts as safe from this time on.
     pub lease_expired_at: Option<Ms>,
 }
 
 impl RegisterSnapshot {
-    /// What the register acts on at `now`, by the same rules as [`Register::tick`]: what is due is active, and a
-    /// lease that ran out means Safe mode, however late the register's own thread is.
+    /// Returns the effective state at `now` by the same rules as [`Register::tick`]: a version past its activation time
+    /// is active, and an expired lease means safe mode, even if the register's own thread is delayed.
     pub fn effective_at(&self, now: Ms) -> EffectiveState {
         self.effective_with_change_at(now).0
     }
 
-    /// As [`RegisterSnapshot::effective_at`], with the moment of the last change and why it came. Both are of the change itself, however
-    /// late the caller looks: an announcement's end, a lease's end.
+    /// Returns the effective state at `now` with the time and reason of its last change. The time is that at which the
+    /// announcement or lease expired, however late the caller looks.
     pub fn effective_with_change_at(&self, now: Ms) -> (EffectiveState, (Ms, &'static str)) {
-        let mut acting = EffectiveState {
+        let mut effective = EffectiveState {
             mode: self.mode,
             active: self.active,
             pending: self.pending.map(|(version, _)| version),
         };
         let mut last_change = self.last_change;
         if let Some((version, at)) = self.pending.filter(|(_, at)| now >= *at) {
-            (acting.active, acting.pending, last_change) = (Some(version), None, (at, ACTIVATED));
+            (effective.active, effective.pending, last_change) = (Some(version), None, (at, ACTIVATED));
         }
         if let (Mode::Active, Some(until)) = (self.mode, self.lease_expires_at.filter(|until| now > *until)) {
-            (acting.mode, last_change) = (Mode::Safe, (until + 1, LEASE_EXPIRED));
+            (effective.mode, last_change) = (Mode::Safe, (until + 1, LEASE_EXPIRED));
         }
-        (acting, last_change)
+        (effective, last_change)
     }
 }
 
-/// Why a version became active: its announcement's end.
+/// Logged reason for the activation of a version: its announcement expired.
 const ACTIVATED: &str = "announcement ran out";
-/// Why a gateway went to Safe mode.
+/// Logged reason for entering safe mode.
 const LEASE_EXPIRED: &str = "lease ran out";
 
-/// One read of the register: `GET agreement:K`, `PTTL agreement:K:settle` and, for a version not yet held, its
-/// content, fetched and checked against its digest.
+/// Result of one read of the register: `GET agreement:K`, `PTTL agreement:K:settle` and, for a version without local
+/// content, the content, fetched and checked against its digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadReply {
-    /// The pointer, or `None` where the key is gone.
+    /// The pointer, or `None` if the key is missing.
     pub pointer: Option<Version>,
-    /// Milliseconds the announcement still lives, or `None` where it has run out (`PTTL` below 0).
+    /// Remaining announcement time in milliseconds, or `None` if the announcement key is absent (`PTTL` below 0).
     pub settle_ms: Option<Ms>,
-    /// Whether the content of `pointer` is held and matches its digest.
+    /// Whether the content of `pointer` is available locally and matches its digest.
     pub content_available: bool,
 }
 
-/// What the caller is to do against the store.
+/// Store operation that the caller is to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the register (see [`ReadReply`]) and tell [`Register::read`] or [`Register::read_failed`], with `sent`.
+    /// Read the register (see [`ReadReply`]) and report to [`Register::read`] or [`Register::read_failed`] with `sent`.
     Read {
-        /// The moment the read was asked for; given back with its reply.
+        /// Time at which the read was requested; passed back with its reply.
         sent: Ms,
     },
-    /// Write the content under its epoch, then compare-and-set the pointer from `over` to `version` and set the
-    /// announcement with `PX announce_ms`, refusing while an announcement lives. Tell [`Register::proposal_finished`].
+    /// In one transaction, write the content under its epoch, compare-and-set the pointer from `expected` to `version`
+    /// and set the announcement with `PX announce_ms`. Fails while an announcement exists. Report the outcome to
+    /// [`Register::proposal_finished`].
     Propose {
         /// The new version.
         version: Version,
-        /// The version the pointer must still hold; `None` where it is to be absent.
+        /// The version that the pointer must still hold; `None` if it must be absent.
         expected: Option<Version>,
     },
-    /// The pointer is gone or older than a version seen: where it holds less, or nothing, set it to `version`
-    /// and set the announcement with `PX settle_ms`, so that nobody joins on what was given back before it settles.
+    /// The pointer is missing or older than a version seen. If it is still absent or lower, set it to `version` and set
+    /// the announcement with `PX settle_ms`, so that no gateway becomes active on the restored version before the
+    /// announcement expires.
     Restore {
         /// The highest version this gateway has seen.
         version: Version,
-        /// What is left of its announcement where it is still pending here, else `announce_ms`.
+        /// Remaining announcement time if the version is still pending at this gateway, else `announce_ms`.
         settle_ms: Ms,
     },
 }
 
-/// How a proposal fared.
+/// Outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// The pointer holds it, announced.
+    /// The pointer holds the proposed version and its announcement is set.
     Won,
-    /// The pointer had moved, an announcement lived, or the store did not answer: read and try again.
+    /// The pointer had changed, an announcement existed or the store did not answer: read again before retrying.
     Lost,
 }
 
-/// One register at one gateway.
+/// State machine of one register at one gateway.
 #[derive(Debug)]
 pub struct Register {
     settings: Settings,
@@ -254,20 +257,20 @@
     read_sent_at: Option<Ms>,
     next_read: Ms,
     desired: Option<u64>,
-    /// `desired` is for a fleet that has no version yet, and for none that has one.
+    /// Propose `desired` only if the register has no version.
     initial_only: bool,
     in_flight_proposal: Option<Version>,
     restore_needed: bool,
-    /// The last read in time found no pointer.
+    /// Whether the last read found no pointer within the read timeout.
     pointer_absent: bool,
-    /// A read has come back since the last proposal's outcome.
+    /// Whether a read was answered since the outcome of the last proposal.
     read_since_proposal: bool,
     last_change: (Ms, &'static str),
     lease_expired_at: Option<Ms>,
 }
 
 impl Register {
-    /// A register at a process that started at `now`: Starting until a first confirmed read.
+    /// Creates a register for a process that started at `now`; the mode is starting until the first confirmed read.
     pub fn new(settings: Settings, now: Ms) -> Register {
         Register {
             settings,
@@ -289,8 +292,8 @@
         }
     }
 
-    /// What decisions act on at `now`. Danger: a decision taken without this call (or [`Register::tick`]) in the
-    /// same round would act on a version whose lease ran out while the process was stopped.
+    /// Returns the effective state at `now`. Every decision must be preceded by this call or [`Register::tick`] in the
+    /// same round; otherwise it would use a version whose lease expired while the process was stopped.
     pub fn effective_state(&mut self, now: Ms) -> EffectiveState {
         self.tick(now);
         EffectiveState {
@@ -300,7 +303,8 @@
         }
     }
 
-    /// What another thread needs to tell, at any moment, what this register acts on: see [`RegisterSnapshot::effective_at`].
+    /// Returns a snapshot from which another thread computes the effective state at any later time; see
+    /// [`RegisterSnapshot::effective_at`].
     pub fn snapshot(&self) -> RegisterSnapshot {
         RegisterSnapshot {
             mode: self.mode,
@@ -312,12 +316,13 @@
         }
     }
 
-    /// The highest version seen here, active or not.
+    /// Returns the highest version seen at this gateway, active or not.
     pub fn highest(&self) -> Option<Version> {
         self.highest
     }
 
-    /// Moves time on: activates what is due, then ends a lease that has run out.
+    /// Advances time to `now`: activates a version whose announcement has expired, then enters safe mode if the lease
+    /// has expired.
     pub fn tick(&mut self, now: Ms) {
         if let Some((version, at)) = self.pending {
             if now >= at {
@@ -328,15 +333,15 @@
                 }
             }
         }
-        let ended = self.confirmed_at.map(|at| at + self.settings.lease_ms + 1).filter(|end| now >= *end);
-        if let (Mode::Active, Some(end)) = (self.mode, ended) {
+        let lease_end = self.confirmed_at.map(|at| at + self.settings.lease_ms + 1).filter(|end| now >= *end);
+        if let (Mode::Active, Some(end)) = (self.mode, lease_end) {
             self.mode = Mode::Safe;
             self.last_change = (end, LEASE_EXPIRED);
             self.lease_expired_at = Some(end);
         }
     }
 
-    /// The earliest moment at which [`Register::tick`] or [`Register::poll_action`] has something to do.
+    /// Returns the earliest time at which [`Register::tick`] or the next periodic read is due.
     pub fn next_due(&self) -> Ms {
         let mut due = if self.read_sent_at.is_some() { Ms::MAX } else { self.next_read };
         if let Some((_, at)) = self.pending {
@@ -350,8 +355,8 @@
         due
     }
 
-    /// The next thing to do against the store, if any. One read at a time; a read whose answer never comes is
-    /// given up after `read_timeout_ms` and the next one goes out.
+    /// Returns the next store operation, if any. Only one read is outstanding; an unanswered read is abandoned after
+    /// the longer of `read_timeout_ms` and `period_ms`, and the next one is sent.
     pub fn poll_action(&mut self, now: Ms) -> Option<Action> {
         self.tick(now);
         if let Some(sent) = self.read_sent_at {
@@ -363,27 +368,27 @@
         if self.restore_needed {
             if let Some(version) = self.highest {
                 self.restore_needed = false;
-                // Danger: a fresh announcement for a version others already wait for would move its moment later
-                // at those that read again; what is left of it is given back instead.
-                let left =
+                // A full announcement for a version already pending elsewhere would postpone activation at the gateways
+                // that read it again, so only the remaining time is restored.
+                let remaining_ms =
                     self.pending.filter(|(pending, _)| *pending == version).map(|(_, at)| at - now.min(at));
-                let settle_ms = left.unwrap_or(self.settings.announce_ms).max(1);
+                let settle_ms = remaining_ms.unwrap_or(self.settings.announce_ms).max(1);
                 return Some(Action::Restore { version, settle_ms });
             }
         }
         if self.initial_only && self.highest.is_some() {
-            // Danger: what a process was started with is no change; proposed over a version it would turn a fleet
-            // back to the file of whoever restarts.
+            // Startup content is not a change. Proposed over an existing version, it would revert the whole fleet to
+            // the configuration file of the gateway that restarted.
             (self.desired, self.initial_only) = (None, false);
         }
         if let Some(digest) = self.desired {
-            // A fleet's first version: nothing was ever seen here and the store holds none; the compare-and-set
-            // over an absent pointer lets one proposal win.
+            // First version of the fleet: none was seen at this gateway and the store holds none. The compare-and-set
+            // against an absent pointer lets exactly one proposal win.
             let first = self.pointer_absent && self.highest.is_none();
-            // Danger: without a read between two proposals, one that lost would be made again at once and lose
-            // again, and no read would ever go out.
-            let may = self.in_flight_proposal.is_none() && self.read_since_proposal;
-            if may && (first || self.mode == Mode::Active && self.pending.is_none()) {
+            // Require a read between two proposals. Otherwise a lost proposal would be retried at once and lose again,
+            // and no read would ever be sent.
+            let may_propose = self.in_flight_proposal.is_none() && self.read_since_proposal;
+            if may_propose && (first || self.mode == Mode::Active && self.pending.is_none()) {
                 if self.active.is_some_and(|version| version.digest == digest) {
                     self.desired = None;
                 } else {
@@ -402,32 +407,33 @@
         None
     }
 
-    /// This gateway loaded a content whole, whose digest is `digest`, and asks for it to become the version.
-    /// A second wish before the first was announced replaces it: the last file loaded is the one meant.
+    /// Requests that the content with `digest`, which this gateway has loaded completely, become the next version.
+    /// A later request replaces one that is not yet announced, so the file loaded last takes effect.
     pub fn propose(&mut self, digest: u64) {
         (self.desired, self.initial_only) = (Some(digest), false);
     }
 
-    /// This gateway was started with a content whose digest is `digest`: it becomes the version where there is none.
+    /// Requests that the startup content with `digest` become the first version if the register has none.
     pub fn propose_initial(&mut self, digest: u64) {
         if self.desired.is_none() && self.highest.is_none() {
             (self.desired, self.initial_only) = (Some(digest), true);
         }
     }
 
-    /// Nothing is asked for any more; a proposal that is out already stands.
+    /// Cancels the requested change; a proposal already sent is not revoked.
     pub fn withdraw(&mut self) {
         self.desired = None;
     }
 
-    /// How the proposal fared.
+    /// Records the outcome of the outstanding proposal.
     pub fn proposal_finished(&mut self, now: Ms, outcome: ProposalOutcome) {
         let proposed = self.in_flight_proposal.take();
         self.read_since_proposal = false;
         if let (ProposalOutcome::Won, Some(version)) = (outcome, proposed) {
             self.desired = None;
-            // Danger: known only from a later read, a version won would be forgotten if the store lost it before
-            // then, and the older one given back in its place. Its announcement ends at the latest now + D.
+            // Record the version at once. If it were known only from a later read and the store lost it before then,
+            // the older version would be restored in its place. The announcement expires at `now + announce_ms` at the
+            // latest.
             self.highest = Some(version);
             if self.mode == Mode::Active {
                 self.pending = Some((version, now + self.settings.announce_ms));
@@ -435,14 +441,14 @@
         }
     }
 
-    /// A read sent at `sent` failed or was not answered.
+    /// Records that the read sent at `sent` failed or was not answered.
     pub fn read_failed(&mut self, _now: Ms, sent: Ms) {
         if self.read_sent_at == Some(sent) {
             self.read_sent_at = None;
         }
     }
 
-    /// The answer of a read sent at `sent`, received at `now`.
+    /// Processes the reply, received at `now`, to the read sent at `sent`.
     pub fn read(&mut self, now: Ms, sent: Ms, reply: ReadReply) {
         if self.read_sent_at == Some(sent) {
             self.read_sent_at = None;
@@ -452,14 +458,14 @@
         self.pointer_absent =
             reply.pointer.is_none() && now.saturating_sub(sent) <= self.settings.read_timeout_ms;
         let Some(pointer) = reply.pointer else {
-            // The key is gone: the store lost it or came back empty. Give back the highest version seen.
+            // The key is missing: the store lost it or restarted empty. Restore the highest version seen.
             self.restore_needed = self.highest.is_some();
             return;
         };
         if let Some(highest) = self.highest {
             if pointer.epoch < highest.epoch || (pointer.epoch == highest.epoch && pointer != highest) {
-                // Danger: an old version offered again would be a looser rule taken back; it comes only as a new
-                // epoch.
+                // Accepting an older version again could reinstate more permissive rules. Older content may return only
+                // under a new epoch.
                 self.restore_needed = true;
                 return;
             }
@@ -469,16 +475,17 @@
             return;
         }
         match reply.settle_ms {
-            Some(left) => {
-                // Danger: a gateway not Active that joined during an announcement could take the old version
-                // (or a stale one given back after a loss) while others hold the new: it waits until it settles.
+            Some(remaining_ms) => {
+                // A gateway that became active during an announcement could adopt the old version, or a stale one
+                // restored after a loss, while others apply the new one. It waits until the announcement expires.
                 if self.mode != Mode::Active {
                     return;
                 }
-                // Danger: a version given back after a loss comes with a fresh announcement; a moment already
-                // known for it is kept, or gateways that read again would take it later than those that did not.
-                let known = self.pending.filter(|(version, _)| *version == pointer).map(|(_, at)| at);
-                let at = known.map_or(now + left, |at| at.min(now + left));
+                // A version restored after a loss has a new announcement. Keep the earlier activation time if one is
+                // known; otherwise gateways that read again would activate later than those that did not.
+                let known_activation =
+                    self.pending.filter(|(version, _)| *version == pointer).map(|(_, at)| at);
+                let at = known_activation.map_or(now + remaining_ms, |at| at.min(now + remaining_ms));
                 self.pending = (Some(pointer) != self.active).then_some((pointer, at));
             }
             None => {
--- a/crates/agreement/src/members.rs
+++ b/crates/agreement/src/members.rs
@@ -1,60 +1,61 @@
-//! Who else is live: each gateway renews `agreement:member:ID` with a heartbeat and `PX lease_ms` every period, and reads
-//! the others' beats.
+//! Gateway membership: every period each gateway renews `agreement:member:ID` with a heartbeat counter and
+//! `PX lease_ms`, and reads the counters of the others.
 
 use crate::{Ms, Settings};
 use std::collections::BTreeMap;
 
-/// One member as a listing shows it: its id and the heartbeat it last wrote.
+/// A member in a listing: its id and the heartbeat counter that it last wrote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedMember {
-    /// The member's id, as it renews it.
+    /// Id in the member's key.
     pub id: String,
-    /// A number that it changes with each renewal.
+    /// Counter that changes with each renewal.
     pub heartbeat: u64,
 }
 
-/// How many gateways share the quotas, as this one sees it.
+/// The number of gateways that share the quotas, as seen by one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipView {
-    /// Live and suspected members, this one among them: at least 1, never rounded up per member. While `alone`, the
-    /// last number known.
+    /// Number of live and suspected members including this one: at least 1, never rounded up per member. While
+    /// `isolated`, the last known number.
     pub gateways: u32,
-    /// This gateway's rank among them by id, from 0.
+    /// Zero-based rank of this gateway among the members, ordered by id.
     pub ordinal: u32,
-    /// Members whose heartbeat has stood still for more than two periods, counted in `gateways`.
+    /// Number of members whose heartbeat has not changed for more than two periods; included in `gateways`.
     pub suspected: u32,
-    /// No listing within the lease: this gateway knows nobody and keeps to its own share.
+    /// No listing arrived within the lease: the membership is unknown and this gateway keeps to its own share.
     pub isolated: bool,
 }
 
 impl MembershipView {
-    /// Before any listing: nobody known. Danger: as a divisor of quotas this would grant one gateway all of them; who
-    /// is alone divides by the last number known, or by the configured one if that is more.
+    /// State before any listing. It must not be used as the divisor of the quotas, because one gateway would get all of
+    /// them: an isolated gateway divides by the larger of the last known number and the configured one.
     pub const ISOLATED: MembershipView =
         MembershipView { gateways: 1, ordinal: 0, suspected: 0, isolated: true };
 }
 
-/// The view of members at one gateway.
+/// Tracks the members seen by one gateway.
 #[derive(Debug)]
 pub struct Members {
     settings: Settings,
     self_id: String,
-    /// Per member: its heartbeat, and since when it has stood there.
+    /// Heartbeat counter of each other member and the time at which it was first seen with that value.
     seen: BTreeMap<String, (u64, Ms)>,
     listed_at: Option<Ms>,
 }
 
-/// Members kept in a view: the rig's and the fleet's largest, with room. A listing beyond is cut, counted whole.
+/// Maximum number of other members tracked, larger than the largest test rig and fleet. Members beyond it are
+/// ignored and not counted.
 pub const MAX_MEMBERS: usize = 1024;
 
 impl Members {
-    /// A view for the member `me`.
+    /// Creates a tracker for the member `self_id`.
     pub fn new(settings: Settings, self_id: &str) -> Members {
         Members { settings, self_id: self_id.to_owned(), seen: BTreeMap::new(), listed_at: None }
     }
 
-    /// A listing sent at `sent` came back at `now`: every member whose key lives. `me` need not be in it: a gateway
-    /// counts itself.
+    /// Records a listing of all unexpired member keys, requested at `sent` and received at `now`. It need not contain
+    /// this gateway, which always counts itself.
     pub fn record_listing(&mut self, now: Ms, sent: Ms, listed: Vec<ListedMember>) {
         if now.saturating_sub(sent) > self.settings.read_timeout_ms {
             return;
@@ -71,7 +72,7 @@
         self.listed_at = Some(sent);
     }
 
-    /// The count that divides quotas at `now`.
+    /// Returns the membership at `now`, whose count divides the quotas.
     pub fn view(&self, now: Ms) -> MembershipView {
         let overdue = |since: Ms| now.saturating_sub(since) > 2 * self.settings.period_ms;
         let fresh = self.listed_at.is_some_and(|at| now <= at + self.settings.lease_ms);
