--- a/crates/control/src/electorate.rs
+++ b/crates/control/src/electorate.rs
@@ -75,7 +75,8 @@
             return true;
         }
         let others = || electorate.members.iter().map(|member| member.id).filter(|id| *id != me);
-        let is_leaving = |id: ReplicaId| self.contacts.get(id.0).is_some_and(|contact| contact.told.leaving);
+        let is_leaving =
+            |id: ReplicaId| self.contacts.get(id.0).is_some_and(|contact| contact.status.leaving);
         if others().all(is_leaving) {
             return true;
         }
@@ -92,7 +93,7 @@
     fn has_possible_replacement(&self, now: u64, electorate: &Electorate) -> bool {
         self.contacts.iter().any(|(id, contact)| {
             let votes = electorate.members.iter().any(|member| member.id.0 == id);
-            !votes && !contact.told.leaving && now < contact.heard_at + REMOVE_TIMEOUT_MS
+            !votes && !contact.status.leaving && now < contact.last_heard_at + REMOVE_TIMEOUT_MS
         })
     }
 
@@ -107,7 +108,7 @@
     fn drives_electorate_changes(&self, now: u64, electorate: &Electorate) -> bool {
         let me = self.settings.replica_id;
         let able = |id: u64| {
-            let told = self.contacts.get(id).map(|contact| &contact.told);
+            let told = self.contacts.get(id).map(|contact| &contact.status);
             self.contacts.is_in_contact(now, id) && told.is_some_and(|told| told.in_quorum && !told.leaving)
         };
         let others = electorate.members.iter().map(|member| member.id.0).filter(|id| *id == me || able(*id));
@@ -138,10 +139,10 @@
                 self.contacts.silent_for(now, id).is_some_and(|silent| silent < MAX_JOINER_SILENCE_MS);
             !known && heard && self.contacts.is_in_contact(now, id) && !leaving
         };
-        let contacts = self.contacts.iter().filter(|(id, contact)| joins(*id, contact.told.leaving));
+        let contacts = self.contacts.iter().filter(|(id, contact)| joins(*id, contact.status.leaving));
         let candidate = |id: u64, contact: &Contact| Candidate {
             member: Member { id: ReplicaId(id), address: contact.address.clone() },
-            zone: contact.told.zone.clone(),
+            zone: contact.status.zone.clone(),
             status: ReplicaStatus::Joining { is_new: self.is_new(now, contact) },
         };
         contacts.map(|(id, contact)| candidate(id, contact)).collect()
@@ -150,14 +151,14 @@
     /// Whether a node has appeared only recently. A node that has itself just started cannot tell, and when the whole
     /// system starts, every node would count as new; in both cases the result is `false`.
     fn is_new(&self, now: u64, contact: &Contact) -> bool {
-        now >= self.started_at + NEW_REPLICA_PERIOD_MS && now < contact.heard_since + NEW_REPLICA_PERIOD_MS
+        now >= self.started_at + NEW_REPLICA_PERIOD_MS && now < contact.first_heard_at + NEW_REPLICA_PERIOD_MS
     }
 
     fn zone_of(&self, id: ReplicaId) -> String {
         if id.0 == self.settings.replica_id {
             return self.settings.zone.clone();
         }
-        self.contacts.get(id.0).map_or_else(String::new, |contact| contact.told.zone.clone())
+        self.contacts.get(id.0).map_or_else(String::new, |contact| contact.status.zone.clone())
     }
 
     /// Zones of the core nodes at these addresses, if the loss of a zone is to be tolerated.
@@ -171,7 +172,7 @@
             }
             let mut contacts = self.contacts.iter();
             let contact = contacts.find(|(_, contact)| contact.address == *address);
-            contact.map_or_else(String::new, |(_, contact)| contact.told.zone.clone())
+            contact.map_or_else(String::new, |(_, contact)| contact.status.zone.clone())
         };
         addresses.iter().map(zone_at).collect()
     }
@@ -179,7 +180,7 @@
     fn status_of_member(&self, now: u64, member: &Member, timeout_ms: u64) -> ReplicaStatus {
         let leaving = match member.id.0 == self.settings.replica_id {
             true => self.leaving,
-            false => self.contacts.get(member.id.0).is_some_and(|contact| contact.told.leaving),
+            false => self.contacts.get(member.id.0).is_some_and(|contact| contact.status.leaving),
         };
         let silent_ms = self.silent_for(now, member);
         if self.is_replaced(member) {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -115,7 +115,7 @@
 
     /// Whether a quorum of the electorate is known to have received a message of this node recently.
     pub fn has_quorum(&self, now: u64) -> bool {
-        self.has_quorum_within(now, self.contacts.settings().contact_for)
+        self.has_quorum_within(now, self.contacts.settings().contact_timeout_ms)
     }
 
     /// Whether a quorum of the electorate is known to have received a message of this node within the last `within`
--- a/crates/control/src/placer.rs
+++ b/crates/control/src/placer.rs
@@ -205,7 +205,7 @@
 
     /// Whether a heartbeat of the holder arrived recently.
     fn is_heard(&self, now: u64, holder: &str) -> bool {
-        let heard = |contact: &Contact| now < contact.heard_at + TAKEOVER_TIMEOUT_MS;
+        let heard = |contact: &Contact| now < contact.last_heard_at + TAKEOVER_TIMEOUT_MS;
         self.contacts.iter().any(|(_, contact)| contact.address == holder && heard(contact))
     }
 
