--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -31,38 +31,38 @@
 /// Slots of a customer's local usage history; each is half a meter period.
 const SLOTS: usize = 32;
 
-/// Price of one class and the samples it is computed from; the fields' names are stored.
+/// Price of one class and the samples it is computed from; stored by position: fields keep order and type.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
 pub struct ClassState {
     price: f64,
-    mean: f64,
+    mean_latency: f64,
     /// Mean latency less the queueing share that load reports give.
-    served: f64,
-    lows: VecDeque<f64>,
+    service_time: f64,
+    service_times: VecDeque<f64>,
     floor: f64,
-    known: f64,
-    waits: f64,
-    answers: f64,
-    admitted: f64,
-    asked: f64,
+    samples: f64,
+    wait_sum: f64,
+    wait_samples: f64,
+    admitted_units: f64,
+    offered: f64,
 }
 
-/// A customer's local share of its quota and ceiling (token buckets); the fields' names are stored.
+/// A customer's local share of its quota and ceiling (token buckets); stored by position, as above.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
 pub struct Customer {
     plan: usize,
-    entry: f64,
+    entry_points: f64,
     share: f64,
-    store: f64,
-    ceiling: f64,
-    filled: Millis,
-    shared_at: Millis,
+    tokens: f64,
+    ceiling_tokens: f64,
+    refilled_at: Millis,
+    share_updated_at: Millis,
     reading: f64,
-    read_at: Millis,
-    blind_at: Millis,
-    past: [f64; SLOTS],
-    slot: i64,
-    out: f64,
+    metered_at: Millis,
+    unmetered_at: Millis,
+    usage: [f64; SLOTS],
+    usage_slot: i64,
+    active: f64,
 }
 
 #[derive(Debug, Clone, Default)]
--- a/src/decision_engine/arrival.rs
+++ b/src/decision_engine/arrival.rs
@@ -10,28 +10,28 @@
         if !known || !valid || self.open.contains_key(&id) {
             return act.push(Action::Refuse { request: id, hold_off: 0.0, reason: RefusalReason::Invalid });
         }
-        self.classes[class].asked += 1.0;
+        self.classes[class].offered += 1.0;
         let plan = self.settings.plans[request.plan].clone();
         let Class { worth, target_latency, .. } = self.settings.classes[class];
-        let (chance, other, period) = (self.rng.f64(), self.rng.f64(), self.settings.meter_period);
+        let (draw, other, period) = (self.rng.f64(), self.rng.f64(), self.settings.meter_period);
         // Fractional shares go to valuable requests first; without meter readings that would starve the rest.
         let asked = self.classes.iter().zip(&self.settings.classes);
-        let (n, sum) = asked.fold((0.0, 0.0), |(n, sum), (c, t)| (n + c.asked, sum + c.asked * t.worth));
-        let weighted = if period > 0.0 { (chance * sum / n / worth).min(1.0) } else { chance };
+        let (n, sum) = asked.fold((0.0, 0.0), |(n, sum), (c, t)| (n + c.offered, sum + c.offered * t.worth));
+        let weighted = if period > 0.0 { (draw * sum / n / worth).min(1.0) } else { draw };
         let customer = self.refresh_customer(request);
         // A local share below one request says little about the whole: the last reading then weighs more.
         let quota = if plan.rate > 0.0 { plan.burst / units.max(0.1) } else { plan.max_concurrent };
-        let metered = customer.blind_at < customer.read_at + period;
+        let metered = customer.unmetered_at < customer.metered_at + period;
         let headroom = if metered { (1.0 - customer.reading).max(0.0) } else { 0.0 };
         let has_room = other < headroom / (1.0 + quota * customer.share).powi(4);
         let fractional = quota * customer.share < 1.0;
         let needed = if fractional { units * weighted } else { units };
         let within_quota = has_room
-            || (plan.rate <= 0.0 || customer.store.max(0.0) >= needed)
+            || (plan.rate <= 0.0 || customer.tokens.max(0.0) >= needed)
             // Many gateways rounding up their shares of a cap exceed it: a fraction is granted by chance.
-            && (plan.max_concurrent <= 0.0 || customer.out + chance < plan.max_concurrent * customer.share);
+            && (plan.max_concurrent <= 0.0 || customer.active + draw < plan.max_concurrent * customer.share);
         let unsure = fractional && plan.rate > 0.0 && customer.reading <= 1.0 && within_quota != metered;
-        let below_ceiling = plan.ceiling_rate <= 0.0 || customer.ceiling >= units;
+        let below_ceiling = plan.ceiling_rate <= 0.0 || customer.ceiling_tokens >= units;
         // A customer far beyond its quota looks new to each of many gateways: its plan's readings decide.
         let prior = self.within_quota[request.plan].max(PRIOR_WITHIN);
         let within = if unsure { prior } else { f64::from(u8::from(within_quota)) };
@@ -54,16 +54,17 @@
         };
         self.counts[0] += 1;
         let customer = self.refresh_customer(request);
-        customer.ceiling -= units;
+        customer.ceiling_tokens -= units;
         if within_quota {
-            customer.store = (customer.store - units).max(-units);
+            customer.tokens = (customer.tokens - units).max(-units);
         }
         if plan.rate > 0.0 {
-            customer.past[0] += units;
+            customer.usage[0] += units;
         }
         // Without meter readings the attempt granted to a new customer under a cap would be granted again.
-        customer.share = if customer.read_at.is_finite() { customer.share } else { 1.0 / customer.entry };
-        self.classes[class].admitted += units;
+        customer.share =
+            if customer.metered_at.is_finite() { customer.share } else { 1.0 / customer.entry_points };
+        self.classes[class].admitted_units += units;
         self.retry_tokens = (self.retry_tokens + RETRY_TOKENS_EARNED).min(RETRY_TOKENS_MAX);
         let Request { plan, customer, .. } = *request;
         let deadline = self.now + if body_incomplete { f64::INFINITY } else { budget };
--- a/src/decision_engine/attempts.rs
+++ b/src/decision_engine/attempts.rs
@@ -58,9 +58,9 @@
         open.active += 1;
         let max_concurrent = self.settings.plans[open.plan].max_concurrent;
         if let Some(customer) = self.customers.get_mut(&customer) {
-            customer.out += 1.0;
+            customer.active += 1.0;
             if max_concurrent > 0.0 {
-                customer.past[0] = customer.past[0].max(customer.out);
+                customer.usage[0] = customer.usage[0].max(customer.active);
             }
         }
         let server = &mut self.servers[index];
@@ -95,30 +95,30 @@
         }
         if counts && self.stalled_at < self.now {
             self.unanswered += 1.0;
-            self.classes[attempt.class].waits += wait;
-            self.classes[attempt.class].answers += 1.0;
+            self.classes[attempt.class].wait_sum += wait;
+            self.classes[attempt.class].wait_samples += 1.0;
         } else if outcome.code == Code::Success && self.stalled_at < self.now && representative {
             let queued = self.queued_share(outcome.report.as_deref());
             let class = &mut self.classes[attempt.class];
-            class.known = (class.known + 1.0).min(MEAN_SAMPLES);
-            class.mean += (elapsed - class.mean) / class.known;
-            class.served += (elapsed * (1.0 - queued) - class.served) / class.known;
-            if class.known < MEAN_SAMPLES {
-                class.floor = class.served;
+            class.samples = (class.samples + 1.0).min(MEAN_SAMPLES);
+            class.mean_latency += (elapsed - class.mean_latency) / class.samples;
+            class.service_time += (elapsed * (1.0 - queued) - class.service_time) / class.samples;
+            if class.samples < MEAN_SAMPLES {
+                class.floor = class.service_time;
             }
-            class.waits += elapsed - class.floor;
-            class.answers += 1.0;
+            class.wait_sum += elapsed - class.floor;
+            class.wait_samples += 1.0;
             self.answered_wait += (elapsed - class.floor - self.answered_wait) * 0.1;
             self.unanswered = 0.0;
         }
         if let Some(customer) = self.customers.get_mut(&attempt.customer) {
-            customer.out = (customer.out - 1.0).max(0.0);
+            customer.active = (customer.active - 1.0).max(0.0);
             if let Some(usage) = outcome.usage.filter(|u| u.is_finite() && *u >= 0.0) {
-                (customer.reading, customer.read_at) = (usage / 100.0, self.now);
+                (customer.reading, customer.metered_at) = (usage / 100.0, self.now);
                 let within = &mut self.within_quota[customer.plan];
                 *within += (f64::from(u8::from(usage <= 100.0)) - *within) * DECAY;
             } else if outcome.code == Code::Success {
-                customer.blind_at = self.now;
+                customer.unmetered_at = self.now;
             }
         }
         let Some(open) = self.open.get_mut(&outcome.request) else { return };
@@ -127,7 +127,7 @@
             // The actual units come with the answer: the local bucket is corrected by the difference.
             let settled = outcome.settled_units.filter(|units| units.is_finite() && open.within_quota);
             if let (Some(units), Some(customer)) = (settled, self.customers.get_mut(&attempt.customer)) {
-                customer.store += open.units - units;
+                customer.tokens += open.units - units;
             }
             return self.finish(outcome.request, act);
         }
--- a/src/decision_engine/price.rs
+++ b/src/decision_engine/price.rs
@@ -15,11 +15,11 @@
         // Waits are pooled over the classes: a rare class's spread of service times would look like a wait.
         // Slow backends make a heavy class wait longer; with light classes priced out, that mix alone would
         // keep the price up. So each wait is scaled to the mean request asked for.
-        let asked: f64 = self.classes.iter().map(|c| c.asked).sum();
-        let mean = self.classes.iter().map(|c| c.floor * c.asked).sum::<f64>() / asked.max(1.0);
+        let asked: f64 = self.classes.iter().map(|c| c.offered).sum();
+        let mean = self.classes.iter().map(|c| c.floor * c.offered).sum::<f64>() / asked.max(1.0);
         let as_mean = |c: &ClassState| if c.floor > 0.0 && mean > 0.0 { mean / c.floor } else { 1.0 };
-        let mut sum: f64 = self.classes.iter().map(|c| c.waits * as_mean(c)).sum();
-        let mut count: f64 = self.classes.iter().map(|c| c.answers).sum();
+        let mut sum: f64 = self.classes.iter().map(|c| c.wait_sum * as_mean(c)).sum();
+        let mut count: f64 = self.classes.iter().map(|c| c.wait_samples).sum();
         // A hung backend has no outcomes until its time-outs: an age above the usual latency counts as wait.
         let usual = |o: &&Attempt| self.classes[o.class].floor + self.wait;
         let late = |o: &&Attempt| self.now - o.sent_at > usual(o) && !self.overtaken(o);
@@ -40,7 +40,7 @@
         let ready = self.servers.iter().filter(is_ready).count().max(1) as f64;
         let gateways = f64::from(self.settings.gateways);
         let delay_cost: f64 = (self.classes.iter().zip(&self.settings.classes))
-            .map(|(c, t)| delay_cost(gateways * t.worth, t.target_latency, c.admitted, seconds))
+            .map(|(c, t)| delay_cost(gateways * t.worth, t.target_latency, c.admitted_units, seconds))
             .sum();
         let price = congestion_price(self.wait, ready, delay_cost);
         // With nothing admitted there are no samples, and a bad estimate would stay for ever: it decays.
@@ -52,16 +52,16 @@
             s.samples *= 1.0 - DECAY / 4.0;
         }
         for class in &mut self.classes {
-            if class.answers <= 0.0 && class.admitted <= 0.0 {
-                class.mean *= 1.0 - DECAY / 2.0;
-                class.served *= 1.0 - DECAY / 2.0;
+            if class.wait_samples <= 0.0 && class.admitted_units <= 0.0 {
+                class.mean_latency *= 1.0 - DECAY / 2.0;
+                class.service_time *= 1.0 - DECAY / 2.0;
             }
-            class.lows.extend((class.known >= MEAN_SAMPLES).then_some(class.served));
-            class.lows.drain(..class.lows.len().saturating_sub(FLOOR_INTERVALS));
-            class.floor = class.lows.iter().copied().reduce(f64::min).unwrap_or(class.served);
+            class.service_times.extend((class.samples >= MEAN_SAMPLES).then_some(class.service_time));
+            class.service_times.drain(..class.service_times.len().saturating_sub(FLOOR_INTERVALS));
+            class.floor = class.service_times.iter().copied().reduce(f64::min).unwrap_or(class.service_time);
             class.price = smoothed(ALPHA, price, class.price);
-            (class.waits, class.answers, class.admitted) = (0.0, 0.0, 0.0);
-            class.asked *= 1.0 - DECAY;
+            (class.wait_sum, class.wait_samples, class.admitted_units) = (0.0, 0.0, 0.0);
+            class.offered *= 1.0 - DECAY;
         }
     }
 
@@ -84,8 +84,8 @@
         // a few times the answered wait, more with each in a row and while few samples are known.
         // Drawback: an overload in which the answers that come are fast is throttled later.
         let class = &self.classes[class];
-        let least = if class.known > 0.0 { 0.1 * class.floor } else { age };
-        let uncertainty = (MEAN_SAMPLES / class.known.max(1.0)).powi(2);
+        let least = if class.samples > 0.0 { 0.1 * class.floor } else { age };
+        let uncertainty = (MEAN_SAMPLES / class.samples.max(1.0)).powi(2);
         age.min(self.answered_wait.max(least) * (2.0 + unanswered) * uncertainty)
     }
 
@@ -112,7 +112,7 @@
 
     /// Present latency of a class; without samples, after a start, any silence would look long.
     pub(super) fn typical_latency(&self, class: usize) -> Millis {
-        let (known, floor) = (self.classes[class].known, self.classes[class].floor);
+        let (known, floor) = (self.classes[class].samples, self.classes[class].floor);
         if known > 0.0 {
             floor + self.wait.max(0.0)
         } else {
--- a/src/decision_engine/servers.rs
+++ b/src/decision_engine/servers.rs
@@ -124,7 +124,7 @@
                 (server.failures, server.backoff, server.ejected_until) = (0, 0.0, 0.0);
                 (server.answered_at, server.lag, server.silence) = (self.now, 0.0, 0.0);
                 server.answered_send = server.answered_send.max(attempt.sent_at);
-                if self.classes[attempt.class].known > 0.0 && self.stalled_at < self.now {
+                if self.classes[attempt.class].samples > 0.0 && self.stalled_at < self.now {
                     let weight = (1.0 / (server.samples + 4.0)).max(0.05);
                     server.slowdown += ((elapsed / typical).clamp(0.05, 20.0) - server.slowdown) * weight;
                     server.samples += 1.0;
--- a/src/decision_engine/slice.rs
+++ b/src/decision_engine/slice.rs
@@ -26,31 +26,31 @@
         let chance = if period > 0.0 { GRANT_METERED } else { unmetered };
         let customer = self.customers.entry(request.customer).or_insert_with(|| Customer {
             plan: request.plan,
-            entry,
+            entry_points: entry,
             share: granted.max(1.0 / entry),
             // Grants of hundreds of gateways add up: each grants a chance of one request, not one request.
-            store: (GRANTED_BURSTS * burst).clamp(request.units * chance, request.units).max(burst),
+            tokens: (GRANTED_BURSTS * burst).clamp(request.units * chance, request.units).max(burst),
             // A restarted gateway must not grant a fresh burst: the ceiling's bucket starts empty.
-            ceiling: (plan.ceiling_rate / entry * since_start).min(plan.ceiling_depth / entry),
-            filled: now,
-            shared_at: now,
-            read_at: f64::NEG_INFINITY,
-            blind_at: f64::NEG_INFINITY,
+            ceiling_tokens: (plan.ceiling_rate / entry * since_start).min(plan.ceiling_depth / entry),
+            refilled_at: now,
+            share_updated_at: now,
+            metered_at: f64::NEG_INFINITY,
+            unmetered_at: f64::NEG_INFINITY,
             ..Customer::default()
         });
-        customer.entry = customer.entry.max(entry);
-        let floor = 1.0 / customer.entry;
+        customer.entry_points = customer.entry_points.max(entry);
+        let floor = 1.0 / customer.entry_points;
         customer.advance_slots(now, period, plan.max_concurrent);
-        let seconds = (now - customer.shared_at) / 1000.0;
+        let seconds = (now - customer.share_updated_at) / 1000.0;
         if seconds >= 1.0 {
-            customer.shared_at = now;
+            customer.share_updated_at = now;
             let most = customer.share * (DOUBLINGS_PER_S * seconds.min(4.0)).exp2();
             // A reading is valid until answers come without one: for a rare customer none is better.
-            let fresh = customer.blind_at < customer.read_at + period;
+            let fresh = customer.unmetered_at < customer.metered_at + period;
             let own = customer.usage_share(plan, period, request.units, since_start);
             // Local usage in the period of the reading, scaled by the quota over the total usage.
             let target = match (fresh, customer.reading > 0.0) {
-                _ if customer.read_at.is_infinite() => customer.share,
+                _ if customer.metered_at.is_infinite() => customer.share,
                 (false, _) => customer.share / 2.0,
                 (true, false) => most,
                 (true, true) if plan.rate > 0.0 => SLICE_TARGET * own / customer.reading,
@@ -59,12 +59,12 @@
             };
             customer.share = target.min(most).min(1.0).max(floor);
         }
-        let elapsed = (now - customer.filled) / 1000.0;
-        customer.filled = now;
+        let elapsed = (now - customer.refilled_at) / 1000.0;
+        customer.refilled_at = now;
         let depth = (plan.burst * customer.share).max(request.units);
-        customer.store = (customer.store + plan.rate * customer.share * elapsed).min(depth);
+        customer.tokens = (customer.tokens + plan.rate * customer.share * elapsed).min(depth);
         let (rate, depth) = (plan.ceiling_rate * floor, plan.ceiling_depth * floor);
-        customer.ceiling = (customer.ceiling + rate * elapsed).min(depth);
+        customer.ceiling_tokens = (customer.ceiling_tokens + rate * elapsed).min(depth);
         customer
     }
 }
@@ -72,27 +72,27 @@
 impl Customer {
     fn advance_slots(&mut self, now: Millis, period: Millis, max_concurrent: f64) {
         let slot = (now / (period / 2.0).max(100.0)).floor() as i64;
-        for _ in 0..(slot - self.slot).clamp(0, SLOTS as i64) {
-            self.past.rotate_right(1);
-            self.past[0] = if max_concurrent > 0.0 { self.out } else { 0.0 };
+        for _ in 0..(slot - self.usage_slot).clamp(0, SLOTS as i64) {
+            self.usage.rotate_right(1);
+            self.usage[0] = if max_concurrent > 0.0 { self.active } else { 0.0 };
         }
-        self.slot = slot;
+        self.usage_slot = slot;
     }
 
     /// Local usage in the period of a reading, as a share of the quota.
-    fn usage_share(&self, plan: &Plan, period: Millis, units: f64, since_start: f64) -> f64 {
+    fn usage_share(&self, plan: &Plan, period: Millis, request_units: f64, since_start: f64) -> f64 {
         // A reading is about a period late: four half periods around its middle are summed, and older ones
         // too if these hold too few requests for a rate.
         if plan.rate <= 0.0 {
-            return self.past[1..5].iter().copied().fold(0.0, f64::max) / plan.max_concurrent.max(1.0);
+            return self.usage[1..5].iter().copied().fold(0.0, f64::max) / plan.max_concurrent.max(1.0);
         }
         let half = (period / 2.0).max(100.0) / 1000.0;
         let (mut sum, mut slots) = (0.0, 0.0);
-        for past in &self.past[1..] {
-            if slots >= 4.0 && (sum >= RATE_REQUESTS * units || slots * half > since_start) {
+        for units in &self.usage[1..] {
+            if slots >= 4.0 && (sum >= RATE_REQUESTS * request_units || slots * half > since_start) {
                 break;
             }
-            sum += past;
+            sum += units;
             slots += 1.0;
         }
         sum / (slots * half) / plan.rate
--- a/src/decision_engine/snapshot.rs
+++ b/src/decision_engine/snapshot.rs
@@ -6,31 +6,32 @@
 use switchhill_recovery::Reuse;
 
 /// State that an engine hands over to its successor. Classes and plans are in the order of the settings that it
-/// was measured under; times are those of the clock that both engines are given. Field names are stored.
+/// was measured under; times are those of the clock that both engines are given. Postcard
+/// stores values by position, without names: the order and types of the fields are the format.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct EngineSnapshot {
     started: Option<Millis>,
     classes: Vec<ClassState>,
-    within: Vec<f64>,
+    within_quota: Vec<f64>,
     customers: Vec<(u64, Customer)>,
-    hosts: Vec<Host>,
-    extra: f64,
+    servers: Vec<ServerSnapshot>,
+    retry_tokens: f64,
     wait: Millis,
-    heard: Millis,
-    missing: f64,
-    usual_out: f64,
+    answered_wait: Millis,
+    unanswered: f64,
+    usual_load: f64,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Host {
+struct ServerSnapshot {
     id: String,
-    born: Millis,
+    started_at: Millis,
     ramp_from: Millis,
-    ratio: f64,
-    evidence: f64,
-    faults: u32,
-    rest: Millis,
-    rest_until: Millis,
+    slowdown: f64,
+    samples: f64,
+    failures: u32,
+    backoff: Millis,
+    ejected_until: Millis,
 }
 
 impl EngineSnapshot {
@@ -43,8 +44,8 @@
             Reuse::AsBound => {
                 self.started = None;
                 for (_, customer) in &mut self.customers {
-                    customer.share = customer.share.min(1.0 / customer.entry.max(1.0));
-                    (customer.reading, customer.read_at) = (0.0, f64::NEG_INFINITY);
+                    customer.share = customer.share.min(1.0 / customer.entry_points.max(1.0));
+                    (customer.reading, customer.metered_at) = (0.0, f64::NEG_INFINITY);
                 }
             }
             Reuse::Not => {
@@ -54,10 +55,10 @@
         }
         if prices != Reuse::Whole {
             self.classes.clear();
-            self.within.clear();
+            self.within_quota.clear();
         }
         if evidence != Reuse::Whole {
-            self.hosts.clear();
+            self.servers.clear();
         }
     }
 }
@@ -122,36 +123,36 @@
         let mut customers: Vec<(u64, Customer)> = self
             .customers
             .iter()
-            .map(|(id, customer)| (*id, Customer { out: 0.0, ..customer.clone() }))
+            .map(|(id, customer)| (*id, Customer { active: 0.0, ..customer.clone() }))
             .collect();
         if customers.len() > max_customers {
-            customers.sort_by(|a, b| b.1.filled.total_cmp(&a.1.filled));
+            customers.sort_by(|a, b| b.1.refilled_at.total_cmp(&a.1.refilled_at));
             customers.truncate(max_customers);
         }
-        let host = |(id, index): (&crate::interface::BackendId, &usize)| {
+        let server_snapshot = |(id, index): (&crate::interface::BackendId, &usize)| {
             let server = &self.servers[*index];
-            Host {
+            ServerSnapshot {
                 id: id.to_string(),
-                born: server.listed.started_at,
+                started_at: server.listed.started_at,
                 ramp_from: server.ramp_from,
-                ratio: server.slowdown,
-                evidence: server.samples,
-                faults: server.failures,
-                rest: server.backoff,
-                rest_until: server.ejected_until,
+                slowdown: server.slowdown,
+                samples: server.samples,
+                failures: server.failures,
+                backoff: server.backoff,
+                ejected_until: server.ejected_until,
             }
         };
         EngineSnapshot {
             started: self.started,
             classes: self.classes.clone(),
-            within: self.within_quota.clone(),
+            within_quota: self.within_quota.clone(),
             customers,
-            hosts: self.by_id.iter().map(host).collect(),
-            extra: self.retry_tokens,
+            servers: self.by_id.iter().map(server_snapshot).collect(),
+            retry_tokens: self.retry_tokens,
             wait: self.wait,
-            heard: self.answered_wait,
-            missing: self.unanswered,
-            usual_out: self.usual_load,
+            answered_wait: self.answered_wait,
+            unanswered: self.unanswered,
+            usual_load: self.usual_load,
         }
     }
 
@@ -165,7 +166,7 @@
                 *class = state;
             }
         }
-        for (within, here) in snapshot.within.into_iter().zip(plans) {
+        for (within, here) in snapshot.within_quota.into_iter().zip(plans) {
             if let Some(own) = here.and_then(|here| self.within_quota.get_mut(here)) {
                 *own = within;
             }
@@ -175,24 +176,24 @@
             if let Some(plan) =
                 plans.get(customer.plan).copied().flatten().filter(|p| *p < self.within_quota.len())
             {
-                self.customers.insert(id, Customer { plan, out: 0.0, ..customer });
+                self.customers.insert(id, Customer { plan, active: 0.0, ..customer });
             }
         }
-        for host in snapshot.hosts {
-            let Some(&index) = self.by_id.get(host.id.as_str()) else { continue };
+        for stored in snapshot.servers {
+            let Some(&index) = self.by_id.get(stored.id.as_str()) else { continue };
             let server = &mut self.servers[index];
-            if server.listed.started_at <= host.born {
-                server.ramp_from = server.ramp_from.max(host.ramp_from);
-                (server.slowdown, server.samples) = (host.ratio, host.evidence);
+            if server.listed.started_at <= stored.started_at {
+                server.ramp_from = server.ramp_from.max(stored.ramp_from);
+                (server.slowdown, server.samples) = (stored.slowdown, stored.samples);
                 (server.failures, server.backoff, server.ejected_until) =
-                    (host.faults, host.rest, host.rest_until);
+                    (stored.failures, stored.backoff, stored.ejected_until);
             }
         }
         // Without the prices the other load estimates do not apply either.
         if priced {
             (self.retry_tokens, self.wait, self.answered_wait) =
-                (snapshot.extra, snapshot.wait, snapshot.heard);
-            (self.unanswered, self.usual_load) = (snapshot.missing, snapshot.usual_out);
+                (snapshot.retry_tokens, snapshot.wait, snapshot.answered_wait);
+            (self.unanswered, self.usual_load) = (snapshot.unanswered, snapshot.usual_load);
         }
     }
 }
--- a/src/decision_engine/timers.rs
+++ b/src/decision_engine/timers.rs
@@ -1,5 +1,3 @@
-//! Timers and periodic work.
-
 use super::*;
 
 /// Interval between two computations of the prices (t_c of the paper).
@@ -53,8 +51,8 @@
     fn tick(&mut self, act: &mut Vec<Action>) {
         self.servers.iter_mut().for_each(|s| (s.lag, s.silence) = (0.0, 0.0));
         for &Attempt { server, class, sent_at, .. } in self.attempts.values() {
-            let known = self.classes[class].known > 0.0;
-            let typical = if known { self.classes[class].mean } else { self.typical_latency(class) };
+            let known = self.classes[class].samples > 0.0;
+            let typical = if known { self.classes[class].mean_latency } else { self.typical_latency(class) };
             let server = &mut self.servers[server];
             if server.answered_at <= sent_at {
                 let age = ((self.now - sent_at) / typical.max(1.0)).max(0.0);
@@ -70,8 +68,8 @@
         if self.now - self.logged_at >= LOG_INTERVAL {
             self.logged_at = self.now;
             let [admitted, quota, ceiling, backend, price] = std::mem::take(&mut self.counts);
-            let describe = |c: &ClassState| format!("{:.0}/{:.0} ms at {:.2}", c.floor, c.mean, c.price);
-            let classes = self.classes.iter().map(describe).collect::<Vec<_>>().join(", ");
+            let show = |c: &ClassState| format!("{:.0}/{:.0} ms at {:.2}", c.floor, c.mean_latency, c.price);
+            let classes = self.classes.iter().map(show).collect::<Vec<_>>().join(", ");
             let active = self.attempts.len();
             act.push(Action::Trace(format!(
                 "admitted {admitted}; refused by quota {quota}, ceiling {ceiling}, no backend {backend}, \
@@ -83,8 +81,8 @@
             self.reprice();
             let now = self.now;
             self.customers.retain(|_, c| {
-                let once = c.past.iter().sum::<f64>() <= 1.0;
-                c.out > 0.0 || now - c.filled < if once { ONE_TIME_TTL } else { CUSTOMER_TTL }
+                let once = c.usage.iter().sum::<f64>() <= 1.0;
+                c.active > 0.0 || now - c.refilled_at < if once { ONE_TIME_TTL } else { CUSTOMER_TTL }
             });
         }
     }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -424,7 +424,7 @@
     // Guarded against: a minute of customers that come once, kept at some 500 bytes each. What the module keeps
     // shows in its debug form only.
     let mut driver = Driver::new(settings(), 2);
-    let kept = |driver: &Driver| format!("{:?}", driver.engine).matches("shared_at").count();
+    let kept = |driver: &Driver| format!("{:?}", driver.engine).matches("share_updated_at").count();
     for n in 0..200 {
         driver.request(Request { customer: 100 + n, ..request(n) });
         driver.outcome(n, 0, Code::Success);
