--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -18,7 +18,7 @@
     Action, Backend, BackendId, Class, Code, Event, Millis, RequestId, Settings, SettingsError,
 };
 use crate::memory::counters::Counters;
-use crate::memory::figures::Figures;
+use crate::memory::figures::Metrics;
 use crate::DecisionEngine;
 pub use messages::{Command, End, Input, Terms};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -69,7 +69,7 @@
     /// What has been counted.
     pub counters: Counters,
     /// What operators fetch.
-    pub figures: Figures,
+    pub metrics: Metrics,
 }
 
 impl Core {
@@ -100,7 +100,7 @@
             actions: Vec::new(),
             events: VecDeque::new(),
             counters: Counters::default(),
-            figures: Figures::default(),
+            metrics: Metrics::default(),
         })
     }
 
--- a/src/core/streams.rs
+++ b/src/core/streams.rs
@@ -82,7 +82,7 @@
         let budget = (terms.wait - ANSWER_EARLY).max(0.0);
         let stream = Stream {
             class: terms.class,
-            figure: self.figures.slot(terms.class),
+            figure: self.metrics.slot(terms.class),
             customer: terms.customer,
             units: terms.units,
             rate: self.rates[terms.plan],
@@ -271,7 +271,7 @@
             None => None,
         };
         if let (Some(figure), Some(ending)) = (stream.figure, ending) {
-            self.figures.count(figure, ending);
+            self.metrics.count(figure, ending);
         }
         *match &answer {
             Some(Command::Deliver(_)) => &mut self.counters.served,
--- a/src/memory/buffer.rs
+++ b/src/memory/buffer.rs
@@ -18,15 +18,15 @@
 
 /// What a read brought.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ReadResult {
     /// Bytes, and there may be more.
-    Some,
+    Data,
     /// Nothing more for now.
     Blocked,
     /// The other side ends its sending.
-    End,
+    Eof,
     /// The connection broke.
-    Broken,
+    Failed,
 }
 
 impl Inbound {
@@ -50,21 +50,21 @@
     }
 
     /// Reads once, through a scratch buffer that all connections share.
-    pub fn read(&mut self, from: &mut impl Read, scratch: &mut [u8]) -> Got {
+    pub fn read(&mut self, from: &mut impl Read, scratch: &mut [u8]) -> ReadResult {
         loop {
             match from.read(scratch) {
-                Ok(0) => return Got::End,
+                Ok(0) => return ReadResult::Eof,
                 Ok(n) => {
                     if self.start > 0 {
                         self.bytes.drain(..self.start);
                         self.start = 0;
                     }
                     self.bytes.extend_from_slice(&scratch[..n]);
-                    return if n < scratch.len() { Got::Blocked } else { Got::Some };
+                    return if n < scratch.len() { ReadResult::Blocked } else { ReadResult::Data };
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Got::Blocked,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return ReadResult::Blocked,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Got::Broken,
+                Err(_) => return ReadResult::Failed,
             }
         }
     }
--- a/src/memory/figures.rs
+++ b/src/memory/figures.rs
@@ -29,7 +29,7 @@
 
 /// What is read from the gateway's state at the moment of asking.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Now {
+pub struct Gauges {
     /// Requests taken whose final answer has not been given.
     pub inflight: usize,
     /// Upstream hosts in the list.
@@ -40,7 +40,7 @@
 
 /// Counts since the start of the process.
 #[derive(Debug, Clone, Default)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<Class>,
     /// The classes that the settings name now, by their position there.
     named: Vec<usize>,
@@ -52,9 +52,9 @@
     pub reconfig_failed: u64,
 }
 
-impl Figures {
+impl Metrics {
     /// From now on the settings name these classes, in this order.
-    pub fn name<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
+    pub fn set_classes<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
         let names: Vec<&str> = names.collect();
         let slot = |name: &str| {
             if let Some(own) = self.classes.iter().position(|c| c.name == name) {
@@ -92,7 +92,7 @@
 
     /// All figures, a line each.
     #[must_use]
-    pub fn render(&self, now: Now) -> String {
+    pub fn render(&self, gauges: Gauges) -> String {
         let mut text = String::with_capacity(64 * (3 * self.classes.len() + 8));
         for class in &self.classes {
             let name = plain(&class.name);
@@ -108,8 +108,11 @@
         for (name, value) in counts {
             let _ = writeln!(text, "{PREFIX}.{name}:{value}|c");
         }
-        let stand =
-            [("inflight", now.inflight), ("hosts_listed", now.hosts_listed), ("hosts_down", now.hosts_down)];
+        let stand = [
+            ("inflight", gauges.inflight),
+            ("hosts_listed", gauges.hosts_listed),
+            ("hosts_down", gauges.hosts_down),
+        ];
         for (name, value) in stand {
             let _ = writeln!(text, "{PREFIX}.{name}:{value}|g");
         }
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -6,7 +6,7 @@
 use super::poll::Interest;
 use super::{listen, Conn, Gateway};
 use crate::interface::Millis;
-use crate::memory::buffer::{Got, Inbound, Outbound};
+use crate::memory::buffer::{Inbound, Outbound, ReadResult};
 use crate::memory::pool::Token;
 use std::collections::VecDeque;
 use std::io;
@@ -191,10 +191,10 @@
                 }
             }
             match caller.inbound.read(&mut caller.socket, &mut self.scratch) {
-                Got::Some => {}
-                Got::Blocked => break,
-                Got::End => ended = true,
-                Got::Broken => {
+                ReadResult::Data => {}
+                ReadResult::Blocked => break,
+                ReadResult::Eof => ended = true,
+                ReadResult::Failed => {
                     self.close_caller(token, &caller);
                     return None;
                 }
@@ -225,7 +225,7 @@
                 // Danger: closed with bytes unread, the system resets the connection and the answer is lost.
                 let _ = caller.socket.shutdown(std::net::Shutdown::Write);
                 let rest = caller.inbound.read(&mut caller.socket, &mut self.scratch);
-                if ended || rest != Got::Blocked {
+                if ended || rest != ReadResult::Blocked {
                     self.close_caller(token, &caller);
                     return None;
                 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -5,7 +5,7 @@
 use super::upstream::connect;
 use super::{Conn, Due, Gateway};
 use crate::interface::{ListKind, Millis};
-use crate::memory::buffer::{Got, Inbound, Outbound};
+use crate::memory::buffer::{Inbound, Outbound, ReadResult};
 use crate::memory::pool::Token;
 use crate::process::config::List;
 use crate::settings::Field;
@@ -142,9 +142,9 @@
         if read {
             loop {
                 match link.inbound.read(&mut link.socket, &mut self.scratch) {
-                    Got::Some => link.read_at = self.now,
-                    Got::Blocked => break,
-                    Got::End | Got::Broken => return self.close_discovery(link),
+                    ReadResult::Data => link.read_at = self.now,
+                    ReadResult::Blocked => break,
+                    ReadResult::Eof | ReadResult::Failed => return self.close_discovery(link),
                 }
             }
             while link.waiting {
--- a/src/net/downstream.rs
+++ b/src/net/downstream.rs
@@ -12,7 +12,7 @@
 use super::{Conn, Downstream, Gateway};
 use crate::core::StreamId;
 use crate::interface::Millis;
-use crate::memory::buffer::{Got, Inbound, Outbound};
+use crate::memory::buffer::{Inbound, Outbound, ReadResult};
 use crate::memory::figures::Outcome as Ending;
 use crate::memory::pool::Token;
 use socket2::SockRef;
@@ -119,10 +119,10 @@
                     break;
                 }
                 match down.inbound.read(&mut down.socket, &mut self.scratch) {
-                    Got::Some => {}
-                    Got::Blocked => break,
+                    ReadResult::Data => {}
+                    ReadResult::Blocked => break,
                     // A downstream that closes has gone away; so has one that ends its sending.
-                    Got::End | Got::Broken => {
+                    ReadResult::Eof | ReadResult::Failed => {
                         self.close_down(down);
                         return None;
                     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -24,7 +24,7 @@
 use super::{shares, Conn, Gateway, HELD_SHARE, RESERVE};
 use crate::core::state::{Listed, State};
 use crate::interface::{ListKind, Millis};
-use crate::memory::buffer::{Got, Inbound, Outbound};
+use crate::memory::buffer::{Inbound, Outbound, ReadResult};
 use crate::memory::pool::Token;
 use crate::process::config::{List, Member};
 use frames::HEAD;
@@ -178,9 +178,9 @@
         let mut over = false;
         while read && !over {
             match link.inbound.read(&mut link.socket, &mut self.scratch) {
-                Got::Some => over = link.inbound.bytes().len() > MOST_PAYLOAD + HEAD,
-                Got::Blocked => break,
-                Got::End | Got::Broken => over = true,
+                ReadResult::Data => over = link.inbound.bytes().len() > MOST_PAYLOAD + HEAD,
+                ReadResult::Blocked => break,
+                ReadResult::Eof | ReadResult::Failed => over = true,
             }
         }
         loop {
--- a/src/net/http2_up.rs
+++ b/src/net/http2_up.rs
@@ -306,7 +306,7 @@
             let polled = poll_slot(slot);
             if slot.rest.is_empty() && !slot.counted {
                 slot.counted = true;
-                self.core.figures.backend_calls += u64::from(matches!(slot.job, Job::Stream(..)));
+                self.core.metrics.backend_calls += u64::from(matches!(slot.job, Job::Stream(..)));
             }
             match polled {
                 None => at += 1,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -276,7 +276,7 @@
             text: config.text,
             logs: None,
         };
-        gateway.core.figures.name(gateway.told.classes.iter().map(|(name, _)| name.as_str()));
+        gateway.core.metrics.set_classes(gateway.told.classes.iter().map(|(name, _)| name.as_str()));
         if let Some(control) = config.control {
             gateway.open_control(control)?;
         }
--- a/src/net/readiness.rs
+++ b/src/net/readiness.rs
@@ -6,7 +6,7 @@
 use super::streams::local;
 use super::{recovery, Conn, Due, Gateway};
 use crate::interface::Millis;
-use crate::memory::figures::Now;
+use crate::memory::figures::Gauges;
 use crate::process::logs::Logs;
 
 /// Without a word from discovery, the list from the configuration does after this long.
@@ -75,7 +75,7 @@
         let feeding =
             self.slots.iter().filter(|conn| matches!(conn, Conn::Down(down) if down.feed.is_some()));
         let inflight = self.exchanges.len() + feeding.count();
-        self.core.figures.render(Now { inflight, hosts_listed, hosts_down })
+        self.core.metrics.render(Gauges { inflight, hosts_listed, hosts_down })
     }
 
     /// The counters as operators read them, with what the log had to drop.
--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -12,7 +12,7 @@
 use super::{Conn, Downstream, Gateway};
 use crate::core::{End, Input, StreamId, UpstreamId};
 use crate::interface::Millis;
-use crate::memory::buffer::{Got, Outbound};
+use crate::memory::buffer::{Outbound, ReadResult};
 use crate::memory::pool::Token;
 use socket2::SockRef;
 use std::time::Duration;
@@ -188,13 +188,13 @@
                 break;
             }
             match up.inbound.read(&mut up.socket, &mut self.scratch) {
-                Got::Some => {}
-                Got::Blocked => last = true,
-                Got::End => {
+                ReadResult::Data => {}
+                ReadResult::Blocked => last = true,
+                ReadResult::Eof => {
                     over = Some(feed.rest.ends_with_connection());
                     break;
                 }
-                Got::Broken => {
+                ReadResult::Failed => {
                     over = Some(false);
                     break;
                 }
@@ -288,9 +288,9 @@
                 break;
             }
             match down.inbound.read(&mut down.socket, &mut self.scratch) {
-                Got::Some => {}
-                Got::Blocked => last = true,
-                Got::End | Got::Broken => {
+                ReadResult::Data => {}
+                ReadResult::Blocked => last = true,
+                ReadResult::Eof | ReadResult::Failed => {
                     self.close_down(down);
                     return None;
                 }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -13,9 +13,9 @@
             None => self.take_config(config),
         });
         match taken {
-            Ok(()) => self.core.figures.reconfig_ok += 1,
+            Ok(()) => self.core.metrics.reconfig_ok += 1,
             Err(why) => {
-                self.core.figures.reconfig_failed += 1;
+                self.core.metrics.reconfig_failed += 1;
                 tracing::warn!("the new configuration is not taken, the old one stays: {why}");
             }
         }
@@ -72,7 +72,7 @@
         let (period, gateways) = (module.meter_period, module.gateways);
         let retuned = self.core.retune(module, &classes, &plans);
         retuned.map_err(|e| format!("field `settings`: {e}"))?;
-        self.core.figures.name(after.iter().map(String::as_str));
+        self.core.metrics.set_classes(after.iter().map(String::as_str));
         if let Some(account) = &mut self.account {
             account.retune(period, gateways, self.now);
         }
--- a/src/net/store.rs
+++ b/src/net/store.rs
@@ -8,7 +8,7 @@
 use super::{Conn, Due, Gateway};
 use crate::core::Input;
 use crate::interface::Millis;
-use crate::memory::buffer::{Got, Inbound, Outbound};
+use crate::memory::buffer::{Inbound, Outbound, ReadResult};
 use crate::memory::pool::Token;
 use crate::process::config::Store;
 use std::net::{SocketAddr, TcpStream};
@@ -203,9 +203,9 @@
         if read {
             loop {
                 match open.inbound.read(&mut open.socket, &mut self.scratch) {
-                    Got::Some if open.inbound.bytes().len() <= MOST_ANSWER => {}
-                    Got::Blocked => break,
-                    Got::Some | Got::End | Got::Broken => return false,
+                    ReadResult::Data if open.inbound.bytes().len() <= MOST_ANSWER => {}
+                    ReadResult::Blocked => break,
+                    ReadResult::Data | ReadResult::Eof | ReadResult::Failed => return false,
                 }
             }
             while let Some(open) = link {
--- a/src/net/streams.rs
+++ b/src/net/streams.rs
@@ -82,9 +82,9 @@
 
     /// Counts a request that a front turned away before the core heard of it.
     pub(super) fn turned_away(&mut self, message: &Message, how: Ending) {
-        let class = message.class(&self.told).and_then(|class| self.core.figures.slot(class));
+        let class = message.class(&self.told).and_then(|class| self.core.metrics.slot(class));
         if let Some(slot) = class {
-            self.core.figures.count(slot, how);
+            self.core.metrics.count(slot, how);
         }
     }
 
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -14,7 +14,7 @@
 use super::{Conn, Downstream, Due, Gateway};
 use crate::core::{End, UpstreamId};
 use crate::interface::{BackendId, Code, Millis};
-use crate::memory::buffer::{Got, Inbound, Outbound};
+use crate::memory::buffer::{Inbound, Outbound, ReadResult};
 use crate::memory::pool::Token;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
@@ -229,7 +229,7 @@
         if !up.outbound.is_empty() {
             match up.outbound.write(&mut up.socket) {
                 Ok(true) if matches!(up.job, Some(Job::Stream(..))) && !up.wants_body => {
-                    self.core.figures.backend_calls += 1;
+                    self.core.metrics.backend_calls += 1;
                 }
                 Ok(_) => {}
                 Err(_) => return self.close_up(up, End::NotConnected),
@@ -250,10 +250,10 @@
             loop {
                 match up.inbound.read(&mut up.socket, &mut self.scratch) {
                     // Danger: an answer that keeps coming is read as fast as it is sent.
-                    Got::Some if up.inbound.bytes().len() > MOST_ANSWER => break,
-                    Got::Some => {}
-                    Got::Blocked => break,
-                    got => return self.up_ended(up, got == Got::End),
+                    ReadResult::Data if up.inbound.bytes().len() > MOST_ANSWER => break,
+                    ReadResult::Data => {}
+                    ReadResult::Blocked => break,
+                    got => return self.up_ended(up, got == ReadResult::Eof),
                 }
             }
             // Interim answers say nothing of when the final one comes; what is cut short is looked at behind them.
