--- a/src/memory/buffer.rs
+++ b/src/memory/buffer.rs
@@ -1,55 +1,55 @@
-//! Bytes on their way in and out of a connection.
+//! Read and write buffers of a connection.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Read, Write};
 
-/// How much one read takes at the most.
-const READ: usize = 16 * 1024;
+/// Maximum bytes per read.
+const READ_SIZE: usize = 16 * 1024;
 
-/// The most memory that an empty buffer keeps for its next bytes.
-const KEPT: usize = 2 * 1024;
+/// Capacity above which an emptied buffer is freed.
+const MAX_IDLE_CAPACITY: usize = 2 * 1024;
 
-/// Bytes read and not yet used.
+/// Bytes read and not yet consumed.
 #[derive(Debug, Default)]
 pub struct Inbound {
     bytes: Vec<u8>,
     start: usize,
 }
 
-/// What a read brought.
+/// Result of a read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadResult {
-    /// Bytes, and there may be more.
+    /// Bytes were read, and more may be available.
     Data,
-    /// Nothing more for now.
+    /// No more bytes are available for now.
     Blocked,
-    /// The other side ends its sending.
+    /// The peer has closed its sending side.
     Eof,
-    /// The connection broke.
+    /// The connection failed.
     Failed,
 }
 
 impl Inbound {
-    /// The bytes at hand.
+    /// The unconsumed bytes.
     #[must_use]
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// Marks the first `n` bytes as used.
+    /// Marks the first `n` bytes as consumed.
     pub fn consume(&mut self, n: usize) {
         self.start += n;
         if self.start >= self.bytes.len() {
             self.bytes.clear();
             self.start = 0;
-            // A long body must not pin its memory to an idle connection.
-            if self.bytes.capacity() > KEPT {
+            // An idle connection must not keep the memory of a long body.
+            if self.bytes.capacity() > MAX_IDLE_CAPACITY {
                 self.bytes = Vec::new();
             }
         }
     }
 
-    /// Reads once, through a scratch buffer that all connections share.
+    /// Reads once, through a scratch buffer shared by all connections.
     pub fn read(&mut self, from: &mut impl Read, scratch: &mut [u8]) -> ReadResult {
         loop {
             match from.read(scratch) {
@@ -70,55 +70,55 @@
     }
 }
 
-/// A scratch buffer for [`Inbound::read`].
+/// Allocates a scratch buffer for [`Inbound::read`].
 #[must_use]
 pub fn scratch() -> Vec<u8> {
-    vec![0; READ]
+    vec![0; READ_SIZE]
 }
 
-/// Bytes that are still to be written, in pieces that are gathered into one write.
+/// Unwritten bytes, kept in chunks that are combined by vectored writes.
 #[derive(Debug, Default)]
 pub struct Outbound {
-    pieces: VecDeque<Vec<u8>>,
+    chunks: VecDeque<Vec<u8>>,
     written: usize,
 }
 
 impl Outbound {
-    /// Adds a piece.
-    pub fn push(&mut self, piece: Vec<u8>) {
-        if !piece.is_empty() {
-            self.pieces.push_back(piece);
+    /// Appends a chunk; an empty one is ignored.
+    pub fn push(&mut self, chunk: Vec<u8>) {
+        if !chunk.is_empty() {
+            self.chunks.push_back(chunk);
         }
     }
 
-    /// Whether all has been written.
+    /// Whether everything has been written.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.pieces.is_empty()
+        self.chunks.is_empty()
     }
 
-    /// Bytes that are still to be written.
+    /// Number of unwritten bytes.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.pieces.iter().map(Vec::len).sum::<usize>() - self.written
+        self.chunks.iter().map(Vec::len).sum::<usize>() - self.written
     }
 
-    /// Forgets what is not yet written.
+    /// Discards the unwritten bytes.
     pub fn clear(&mut self) {
-        self.pieces.clear();
+        self.chunks.clear();
         self.written = 0;
     }
 
-    /// Writes what the other side takes now; true once nothing is left.
+    /// Writes until the socket would block; true once everything is written.
     ///
     /// # Errors
-    /// When the connection broke.
+    /// The I/O error if the connection failed.
     pub fn write(&mut self, to: &mut impl Write) -> io::Result<bool> {
-        while !self.pieces.is_empty() {
+        while !self.chunks.is_empty() {
             let mut slices = [IoSlice::new(&[]); 8];
             let mut count = 0;
-            for (slot, piece) in slices.iter_mut().zip(&self.pieces) {
-                *slot = IoSlice::new(if count == 0 { &piece[self.written..] } else { piece });
+            for (slot, chunk) in slices.iter_mut().zip(&self.chunks) {
+                *slot = IoSlice::new(if count == 0 { &chunk[self.written..] } else { chunk });
                 count += 1;
             }
             match to.write_vectored(&slices[..count]) {
@@ -134,12 +134,12 @@
 
     fn advance(&mut self, n: usize) {
         self.written += n;
-        while let Some(first) = self.pieces.front() {
+        while let Some(first) = self.chunks.front() {
             if self.written < first.len() {
                 break;
             }
             self.written -= first.len();
-            self.pieces.pop_front();
+            self.chunks.pop_front();
         }
     }
 }
--- a/src/memory/counters.rs
+++ b/src/memory/counters.rs
@@ -1,10 +1,10 @@
-//! Counters of what the program takes in, sends and answers, for operators.
+//! Event counters for operators.
 
 use std::fmt;
 
 macro_rules! counters {
     ($($(#[doc = $doc:literal])* $name:ident),* $(,)?) => {
-        /// What has been counted since the start.
+        /// Counts since the start of the process.
         #[derive(Debug, Clone, Default, PartialEq, Eq)]
         pub struct Counters { $($(#[doc = $doc])* pub $name: u64),* }
 
@@ -18,58 +18,58 @@
 }
 
 counters! {
-    /// Streams taken in.
+    /// Streams received.
     streams,
-    /// Streams answered with an upstream host's answer.
+    /// Streams answered with an upstream host's response.
     served,
-    /// Streams answered with a local reply that says trying again is harmless.
+    /// Streams answered with a local reply that marks a retry as safe.
     refused,
-    /// Streams answered with a failure.
+    /// Streams answered with a failure response.
     failed,
-    /// Streams whose downstream left first.
+    /// Streams whose downstream disconnected before the answer.
     left,
-    /// Upstream requests handed to a connection.
+    /// Upstream requests assigned to a connection.
     upstream_requests,
-    /// Upstream requests that ended served.
+    /// Upstream requests that completed with a response.
     upstream_served,
-    /// Upstream requests that an upstream host turned away.
+    /// Upstream requests that an upstream host rejected without processing.
     upstream_turned_away,
-    /// Upstream requests that found no connection, or whose connection failed before the last byte.
+    /// Upstream requests without a connection, or whose connection failed before the last byte was sent.
     upstream_not_connected,
-    /// Upstream requests whose connection broke after the last byte.
+    /// Upstream requests whose connection failed after the last byte was sent.
     upstream_reset,
-    /// Upstream requests answered with an error.
+    /// Upstream requests answered with an error response.
     upstream_errors,
-    /// Upstream requests that got no answer in time.
+    /// Upstream requests that timed out.
     upstream_timed_out,
-    /// Upstream requests called off.
+    /// Upstream requests that were cancelled.
     upstream_stopped,
     /// Upstream requests that were never sent, because of a drain or a rule.
     upstream_void,
-    /// Upstream requests held until an HTTP/2 peer had room.
+    /// Upstream requests queued because of an HTTP/2 peer's stream limit.
     upstream_held,
     /// Probes sent.
     probes,
-    /// News of the upstream hosts.
+    /// Updates of the upstream host list.
     lists,
     /// Downstream connections accepted.
     downstream_connections,
     /// Upstream connections opened.
     upstream_connections,
-    /// Messages answered with a 4xx and a close.
+    /// Invalid messages, answered with a 4xx status and a connection close.
     bad_messages,
-    /// Requests turned away for lack of descriptors.
+    /// Requests rejected because file descriptors ran short.
     turned_away_descriptors,
-    /// Requests turned away for lack of memory.
+    /// Requests rejected because memory ran short.
     turned_away_memory,
-    /// Times that accepting rested because no descriptor could be had.
+    /// Times that accepting paused because no file descriptor was available.
     accept_rests,
-    /// Downstream connections closed to free their descriptors.
+    /// Downstream connections closed to free file descriptors.
     downstream_spared,
-    /// Times that something was written to the shared store.
+    /// Batches written to the shared store.
     store_batches,
     /// Calls to the shared store that failed.
     store_failures,
-    /// Times that the shared store was found to have lost what it held.
+    /// Times that the shared store was found to have lost its data.
     store_lives,
 }
--- a/src/memory/figures.rs
+++ b/src/memory/figures.rs
@@ -1,21 +1,21 @@
-//! The figures that operators fetch: what became of requests by class, and what stands now.
+//! Metrics for operators: request outcomes by class, and gauges of the present state.
 //!
-//! Counts start at 0 with the process and never fall, also when a class is dropped from the settings and
-//! comes back. They are written as `edge_relay.NAME:VALUE|TYPE`, type `c` for counts and `g` for what stands now.
+//! Counters start at 0 with the process and never decrease, also when a class is removed from the settings and
+//! added again. The format is `edge_relay.NAME:VALUE|TYPE`, type `c` for counters and `g` for gauges.
 
 use std::fmt::Write;
 
-/// Begins every line.
+/// Prefix of every line.
 const PREFIX: &str = "edge_relay";
-/// Classes that are kept in mind. Danger: names may change at every reload; what is kept must not grow with them.
-const MOST_CLASSES: usize = 256;
+/// Maximum number of classes with counters. Names may change at every reload; memory must not grow with them.
+const MAX_CLASSES: usize = 256;
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// With an upstream host's answer.
+    /// With an upstream host's response.
     Success,
-    /// With a local reply that trying again is harmless.
+    /// With a local reply that marks a retry as safe.
     Busy,
     /// With any other local reply.
     Failure,
@@ -27,14 +27,14 @@
     counts: [u64; 3],
 }
 
-/// What is read from the gateway's state at the moment of asking.
+/// Gauges, read from the gateway's state when the metrics are rendered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken whose final answer has not been given.
+    /// Accepted requests without a final answer.
     pub inflight: usize,
     /// Upstream hosts in the list.
     pub hosts_listed: usize,
-    /// Of these, the ones that get nothing now, by hand or by choice.
+    /// Listed hosts that are cordoned by an operator or ejected.
     pub hosts_down: usize,
 }
 
@@ -42,18 +42,18 @@
 #[derive(Debug, Clone, Default)]
 pub struct Metrics {
     classes: Vec<Class>,
-    /// The classes that the settings name now, by their position there.
-    named: Vec<usize>,
+    /// Slot of each class of the present settings, by its position there.
+    configured: Vec<usize>,
     /// Upstream requests whose last byte was written to a connection.
     pub backend_calls: u64,
-    /// Configurations taken at SIGHUP.
+    /// Configurations applied at SIGHUP.
     pub reconfig_ok: u64,
-    /// Configurations turned down at SIGHUP.
+    /// Configurations rejected at SIGHUP.
     pub reconfig_failed: u64,
 }
 
 impl Metrics {
-    /// From now on the settings name these classes, in this order.
+    /// Sets the classes of the present settings, in their order.
     pub fn set_classes<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
         let names: Vec<&str> = names.collect();
         let slot = |name: &str| {
@@ -61,9 +61,9 @@
                 return own;
             }
             let class = Class { name: name.into(), ..Class::default() };
-            // Places stay: requests that are open know theirs.
-            let unnamed = self.classes.iter().position(|c| !names.contains(&c.name.as_str()));
-            match unnamed.filter(|_| self.classes.len() >= MOST_CLASSES) {
+            // Slots do not move: open requests refer to theirs by number.
+            let unused = self.classes.iter().position(|c| !names.contains(&c.name.as_str()));
+            match unused.filter(|_| self.classes.len() >= MAX_CLASSES) {
                 Some(old) => {
                     self.classes[old] = class;
                     old
@@ -74,30 +74,30 @@
                 }
             }
         };
-        self.named = names.iter().copied().map(slot).collect();
+        self.configured = names.iter().copied().map(slot).collect();
     }
 
-    /// Where a class that the settings name is counted, by its position there.
+    /// Slot of a class of the present settings, by its position there.
     #[must_use]
     pub fn slot(&self, class: usize) -> Option<usize> {
-        self.named.get(class).copied()
+        self.configured.get(class).copied()
     }
 
-    /// Counts the end of a request of the class in this slot.
+    /// Counts an ended request of the class in this slot.
     pub fn count(&mut self, slot: usize, outcome: Outcome) {
         if let Some(class) = self.classes.get_mut(slot) {
             class.counts[outcome as usize] += 1;
         }
     }
 
-    /// All figures, a line each.
+    /// Renders all metrics, one per line.
     #[must_use]
     pub fn render(&self, gauges: Gauges) -> String {
         let mut text = String::with_capacity(64 * (3 * self.classes.len() + 8));
         for class in &self.classes {
-            let name = plain(&class.name);
-            for (word, value) in ["success", "busy", "failure"].iter().zip(class.counts) {
-                let _ = writeln!(text, "{PREFIX}.calls.{name}.{word}:{value}|c");
+            let name = escape_name(&class.name);
+            for (outcome, value) in ["success", "busy", "failure"].iter().zip(class.counts) {
+                let _ = writeln!(text, "{PREFIX}.calls.{name}.{outcome}:{value}|c");
             }
         }
         let counts = [
@@ -108,21 +108,21 @@
         for (name, value) in counts {
             let _ = writeln!(text, "{PREFIX}.{name}:{value}|c");
         }
-        let stand = [
+        let gauges = [
             ("inflight", gauges.inflight),
             ("hosts_listed", gauges.hosts_listed),
             ("hosts_down", gauges.hosts_down),
         ];
-        for (name, value) in stand {
+        for (name, value) in gauges {
             let _ = writeln!(text, "{PREFIX}.{name}:{value}|g");
         }
         text
     }
 }
 
-/// A class's name as it stands between two points. What would end it there, or the line, is written as `%` and
-/// two hex digits, so that no two names become one.
-fn plain(name: &str) -> String {
+/// Escapes a class name for use between two dots. Bytes that could end the name or the line, and `%`, become
+/// `%` and two hex digits, so that distinct names stay distinct.
+fn escape_name(name: &str) -> String {
     let mut text = String::with_capacity(name.len());
     for byte in name.bytes() {
         if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'/') {
--- a/src/memory/mod.rs
+++ b/src/memory/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept in memory: buffers, pools of connections, counters.
+//! In-memory structures: I/O buffers, the connection table, counters and metrics.
 
 pub mod buffer;
 pub mod counters;
