--- a/crates/control/tests/core/mod.rs
+++ b/crates/control/tests/core/mod.rs
@@ -1,6 +1,6 @@
-//! A core of a few nodes in virtual time: messages are delivered at once unless a test holds them back, and disks sync at
-//! once.
-#![allow(dead_code, reason = "each user of this module needs a part of it")]
+//! A core of a few nodes in virtual time. Messages are delivered at once unless a test drops them, and disk writes
+//! complete at once.
+#![allow(dead_code, reason = "each test crate uses a part of this module")]
 
 #[path = "../node_settings/mod.rs"]
 mod node_settings;
@@ -15,8 +15,8 @@
 use switchhill_protocol::PeerFrame;
 use switchhill_register::{Member, ReplicaId};
 
-/// Time in milliseconds between two ticks.
-const TICK: u64 = 25;
+/// Interval between two ticks.
+const TICK_INTERVAL_MS: u64 = 25;
 
 /// Nodes by number, from 1.
 pub struct Core {
@@ -24,13 +24,13 @@
     nodes: BTreeMap<u64, ControlNode>,
     records: BTreeMap<u64, Vec<Vec<u8>>>,
     in_flight: VecDeque<(u64, PeerFrame)>,
-    /// Whether a message to the node of this number is lost.
+    /// Whether a message to the given node is lost.
     pub is_lost: fn(u64, &PeerFrame) -> bool,
-    /// All messages that were sent, with their receivers.
+    /// All messages sent, with their receivers, including lost ones.
     pub sent: Vec<(u64, PeerFrame)>,
     pub answers: BTreeMap<CallId, Answer>,
     pub orders: Vec<OrderCall>,
-    pub asked: Vec<ReportCall>,
+    pub report_requests: Vec<ReportCall>,
     next_call: u64,
 }
 
@@ -38,7 +38,7 @@
     format!("10.0.0.{node}:7660")
 }
 
-fn settings(nodes: u64, node: u64, life: u64) -> NodeSettings {
+fn settings(nodes: u64, node: u64, incarnation: u64) -> NodeSettings {
     let seeds = (1..=nodes).map(address).collect();
     NodeSettings {
         node_name: format!("core-{node}"),
@@ -46,12 +46,12 @@
         worker_heartbeat_ms: 1000,
         lease_ms: 3000,
         seed: 7,
-        ..node_settings(node, life, address(node), seeds)
+        ..node_settings(node, incarnation, address(node), seeds)
     }
 }
 
 impl Core {
-    /// A core of so many nodes that starts for the first time. The life of node N is N * 1000.
+    /// Starts a new core with this number of nodes. The incarnation of node N is N * 1000.
     pub fn start(nodes: u64) -> Core {
         let members = |node| Member { id: ReplicaId(node), address: address(node) };
         let genesis: Vec<Member> = (1..=nodes).map(members).collect();
@@ -69,14 +69,14 @@
             sent: Vec::new(),
             answers: BTreeMap::new(),
             orders: Vec::new(),
-            asked: Vec::new(),
+            report_requests: Vec::new(),
             next_call: 0,
         }
     }
 
-    /// Starts a node again, as another life with what its disk holds.
-    pub fn restart(&mut self, node: u64, life: u64) {
-        let settings = settings(self.nodes.len() as u64, node, life);
+    /// Restarts a node in another incarnation with the records on its disk.
+    pub fn restart(&mut self, node: u64, incarnation: u64) {
+        let settings = settings(self.nodes.len() as u64, node, incarnation);
         let records = self.records.get(&node).cloned().unwrap_or_default();
         self.nodes.insert(node, ControlNode::new(self.now, settings, records, None));
         self.in_flight.retain(|(to, _)| *to != node);
@@ -86,17 +86,17 @@
         &self.nodes[&node]
     }
 
-    /// Lets so many milliseconds pass.
+    /// Advances time by a number of milliseconds.
     pub fn run(&mut self, milliseconds: u64) {
         let until = self.now + milliseconds;
         while self.now < until {
-            self.now += TICK;
+            self.now += TICK_INTERVAL_MS;
             let nodes: Vec<u64> = self.nodes.keys().copied().collect();
             nodes.into_iter().for_each(|node| self.input(node, Input::Tick));
         }
     }
 
-    /// Makes a call to a node.
+    /// Sends a call to a node.
     pub fn call(&mut self, node: u64, call: Call) -> CallId {
         self.next_call += 1;
         let id = CallId(self.next_call);
@@ -115,7 +115,7 @@
         self.answers.get(&call).map(|answer| answer.status)
     }
 
-    /// Hands an input to a node, and on what follows from it.
+    /// Passes an input to a node and delivers all messages that result.
     pub fn input(&mut self, node: u64, input: Input) {
         self.handle(node, input);
         while let Some((to, frame)) = self.in_flight.pop_front() {
@@ -140,7 +140,7 @@
                 }
                 Output::RewriteLog(records) => drop(self.records.insert(node, records)),
                 Output::Order(order) => self.orders.push(order),
-                Output::RequestReport(call) => self.asked.push(call),
+                Output::RequestReport(call) => self.report_requests.push(call),
                 Output::Subscribers(..) | Output::CloseSubscriber(_) => {}
             }
         }
--- a/crates/control/tests/late_answers.rs
+++ b/crates/control/tests/late_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that come late: of an update of an earlier life, of an order of an earlier planner.
+//! Late answers: acknowledgements for an earlier incarnation, and answers to orders of an earlier planner.
 #![allow(missing_docs)]
 
 mod core;
@@ -22,16 +22,16 @@
     matches!(frame.body, Some(PeerBody::WorkerUpdate(_)))
 }
 
-/// Node 1 in two lives: in each a worker ends there. In the second no other node hears of it, and only the
-/// acknowledgements of the first life's update come. The status of the second worker's end.
-fn end_answered_by_acknowledgements_of_an_earlier_life(lives: [u64; 2]) -> Option<u16> {
+/// Deregisters a worker at node 1 in each of two incarnations. In the second, the updates to other nodes are lost and
+/// only the acknowledgements from the first incarnation arrive. Returns the status of the second deregistration.
+fn end_answered_by_acknowledgements_of_an_earlier_incarnation(incarnations: [u64; 2]) -> Option<u16> {
     let mut core = Core::start(3);
     core.run(1000);
-    core.restart(1, lives[0]);
+    core.restart(1, incarnations[0]);
     core.run(2000);
     core.sent.clear();
     let first = core.call(1, Call::Deregister { id: "worker-1".to_owned() });
-    assert_eq!(core.status(first), Some(200), "the first life's update is acknowledged by all");
+    assert_eq!(core.status(first), Some(200), "the first incarnation's update is acknowledged by all");
     let is_acknowledgement = |frame: &PeerFrame| matches!(frame.body, Some(PeerBody::WorkerUpdateAck(_)));
     let late: Vec<PeerFrame> = core
         .sent
@@ -40,7 +40,7 @@
         .map(|(_, frame)| frame.clone())
         .collect();
     assert_eq!(late.len(), 2, "one of each other node");
-    core.restart(1, lives[1]);
+    core.restart(1, incarnations[1]);
     core.run(2000);
     core.is_lost = |_, frame| is_update(frame);
     let second = core.call(1, Call::Deregister { id: "worker-2".to_owned() });
@@ -51,14 +51,15 @@
 }
 
 #[gtest]
-fn an_acknowledgement_for_an_earlier_life_confirms_nothing() {
-    expect_that!(end_answered_by_acknowledgements_of_an_earlier_life([111, 222]), some(eq(503)));
+fn an_acknowledgement_for_an_earlier_incarnation_confirms_nothing() {
+    expect_that!(end_answered_by_acknowledgements_of_an_earlier_incarnation([111, 222]), some(eq(503)));
 }
 
 #[gtest]
-fn planted_lives_with_the_same_numbers_are_noticed() {
-    // As if each life counted its updates from the same number: a worker's end is confirmed that no other node knows.
-    expect_that!(end_answered_by_acknowledgements_of_an_earlier_life([111, 111]), some(eq(200)));
+fn repeated_incarnation_numbers_are_detected() {
+    // With the same incarnation number, update numbers repeat: a deregistration unknown to all other nodes is
+    // confirmed.
+    expect_that!(end_answered_by_acknowledgements_of_an_earlier_incarnation([111, 111]), some(eq(200)));
 }
 
 const ENGINE: &str = ",\"engine\":{\"slots\":8,\"kvCacheTokens\":100000,\"weightsMb\":200.0,\"adapterSlots\":4,\
@@ -72,8 +73,9 @@
     )
 }
 
-/// Clients ask for the model for 50 ms, at a core of one node; the one worker says that it is ready now and then.
-fn press(core: &mut Core, step: u64) {
+/// Reports demand for the missing model to a single-node core and runs it for 50 ms, with a worker heartbeat every 20
+/// steps.
+fn report_demand(core: &mut Core, step: u64) {
     if step.is_multiple_of(20) {
         core.call(1, heartbeat("worker-1", step / 20 + 1));
     }
@@ -89,9 +91,9 @@
     core.run(50);
 }
 
-/// The worker answers with the reports that it was asked for: it holds nothing and has taken no order.
-fn report(core: &mut Core) {
-    for call in std::mem::take(&mut core.asked) {
+/// Answers all report requests: the worker has no models loaded and has accepted no order.
+fn answer_report_requests(core: &mut Core) {
+    for call in std::mem::take(&mut core.report_requests) {
         let report = WorkerReport {
             call,
             busy: false,
@@ -106,13 +108,13 @@
     }
 }
 
-/// Presses until there is a next order.
+/// Reports demand until the placer sends another order.
 fn next_order(core: &mut Core, step: &mut u64) -> OrderCall {
     let before = core.orders.len();
     for _ in 0..200 {
-        press(core, *step);
+        report_demand(core, *step);
         *step += 1;
-        report(core);
+        answer_report_requests(core);
         if let Some(order) = core.orders.get(before) {
             return order.clone();
         }
@@ -128,16 +130,16 @@
     expect_that!(core.status(taken), some(eq(200)));
     let mut step = 0;
     let first = next_order(&mut core, &mut step);
-    // The service loses its engine and gets it back while the order is under way: its planner is another one.
+    // Removing and restoring the engine while the order is pending replaces the service's planner.
     core.replace(1, 1, &configuration(2, ""));
     core.run(100);
     core.replace(1, 2, &configuration(3, ENGINE));
     let second = next_order(&mut core, &mut step);
     expect_that!(second.ticket.epoch, eq(first.ticket.epoch));
     expect_that!(second.ticket.planner, not(eq(first.ticket.planner)));
-    // Numbers of orders differ from planner to planner as well; the ticket alone has to tell whose answer it is.
+    // Order numbers also differ between planners; here the ticket's planner alone must identify the answer as late.
     let of_earlier_planner = OrderTicket { order: second.ticket.order, ..first.ticket.clone() };
-    // An answer that shows whether it was taken: a planner that hears of a higher fence gives the role up.
+    // A stale-fence answer shows whether it was processed: it makes the node give up the placer role.
     let epoch = core.node(1).placer_epoch();
     core.input(1, Input::OrderAnswered(first.ticket, OrderAnswer::StaleFence));
     core.input(1, Input::OrderAnswered(of_earlier_planner, OrderAnswer::StaleFence));
@@ -154,16 +156,16 @@
     let mut step = 0;
     let order = next_order(&mut core, &mut step);
     expect_that!(order.if_revision, some(eq(0)), "each order names the sequence that it expects");
-    core.asked.clear();
+    core.report_requests.clear();
     core.input(1, Input::OrderAnswered(order.ticket.clone(), OrderAnswer::NoAnswer));
-    // The worker is ready and wanted and does not report: it gets no other order.
+    // The worker is ready and in demand but sends no report, so it must get no other order.
     for _ in 0..60 {
-        press(&mut core, step);
+        report_demand(&mut core, step);
         step += 1;
     }
     expect_that!(core.orders, len(eq(1)));
-    expect_that!(core.asked, not(is_empty()), "its report is asked for");
-    // Its report tells that the order was not taken: now there is a next one, with a number of its own.
+    expect_that!(core.report_requests, not(is_empty()), "its report is asked for");
+    // Its report shows that the order was not accepted, so a new one follows under its own number.
     let second = next_order(&mut core, &mut step);
     expect_that!(second.ticket.order, not(eq(order.ticket.order)));
 }
--- a/crates/control/tests/node_settings/mod.rs
+++ b/crates/control/tests/node_settings/mod.rs
@@ -1,13 +1,13 @@
-//! Settings of the core nodes of the tests.
+//! Settings of core nodes in tests.
 
 use switchhill_control::NodeSettings;
 
-/// Settings of a node named after its address: no zone, one machine to be lost. A test states beside them what it needs
-/// otherwise.
-pub fn node_settings(replica: u64, life: u64, address: String, seeds: Vec<String>) -> NodeSettings {
+/// Settings of a node that is named after its address, has no zone, and tolerates the loss of one machine. Tests
+/// override other fields as needed.
+pub fn node_settings(replica: u64, incarnation: u64, address: String, seeds: Vec<String>) -> NodeSettings {
     NodeSettings {
         replica_id: replica,
-        incarnation: life,
+        incarnation,
         node_name: address.clone(),
         address,
         seeds,
@@ -19,6 +19,6 @@
         ceiling_window_ms: 5_000,
         fencing: true,
         planner: Default::default(),
-        seed: life,
+        seed: incarnation,
     }
 }
