--- a/crates/control/tests/authority_scripts.rs
+++ b/crates/control/tests/authority_scripts.rs
@@ -1,4 +1,4 @@
-//! What a cut-off, frozen or restarted core node says: the shortest scripts.
+//! Scripted scenarios for the answers of partitioned, frozen and restarted core nodes.
 
 mod simulation;
 
@@ -13,10 +13,10 @@
 use switchhill_protocol::{PeerBody, PeerFrame, PeerHeartbeat, RegisterEnvelope};
 use switchhill_register::{Accepted, Ballot, Body, Electorate, Member, Message, Record, ReplicaId, Value};
 
-/// A cut as long as the operators tell of.
-const LONG_CUT: u64 = 20_000;
+/// Length of a partition, as reported by operators.
+const LONG_PARTITION_MS: u64 = 20_000;
 
-/// Three core nodes and their agents, settled on revision 3.
+/// Three core nodes and their agents, all on revision 3.
 fn settled(edges: usize) -> World {
     let mut world = World::new(Plan::script(3, edges));
     world.run_for(2_000);
@@ -28,7 +28,7 @@
     world
 }
 
-/// A change through a core node, which has to be taken.
+/// Makes a change through a core node, which must be accepted.
 fn change(world: &mut World, core: usize, base: u64, revision: u64) {
     let id = world.script_call(core, Call::Change(order(revision as usize, base, revision, true)));
     world.run_for(400);
@@ -45,8 +45,8 @@
     body["code"].as_u64().unwrap_or(0)
 }
 
-fn cut(hosts: &[usize], out: bool, into: bool) -> Fault {
-    Fault::Cut { hosts: hosts.to_vec(), out, into }
+fn partition(hosts: &[usize], out: bool, into: bool) -> Fault {
+    Fault::Partition { hosts: hosts.to_vec(), out, into }
 }
 
 fn heartbeat(state: &str) -> Bytes {
@@ -60,10 +60,10 @@
 }
 
 #[gtest]
-fn node_cut_off_for_twenty_seconds_neither_answers_refuses_nor_confirms() {
+fn node_isolated_for_twenty_seconds_neither_answers_refuses_nor_confirms() {
     for (out, into) in [(true, true), (true, false), (false, true)] {
         let mut world = settled(0);
-        world.fault(&cut(&[2], out, into));
+        world.fault(&partition(&[2], out, into));
         world.run_for(950);
         change(&mut world, 0, 3, 5);
         let calls = [
@@ -75,7 +75,7 @@
             Call::Heartbeat { id: "w".to_owned(), body: heartbeat("ready") },
             Call::Deregister { id: "w".to_owned() },
         ];
-        for after in [0, 5_000, LONG_CUT - 6_000] {
+        for after in [0, 5_000, LONG_PARTITION_MS - 6_000] {
             world.run_for(after);
             for call in &calls {
                 let id = world.script_call(2, call.clone());
@@ -93,15 +93,15 @@
 }
 
 #[gtest]
-fn agent_started_on_the_side_of_a_cut_off_node_takes_up_nothing_until_the_cut_ends() {
-    for cut_before in [100, 1_500] {
+fn agent_restarted_beside_an_isolated_node_adopts_nothing_until_the_partition_ends() {
+    for partition_before in [100, 1_500] {
         let mut world = settled(2);
-        world.fault(&cut(&[2, 3], true, true));
+        world.fault(&partition(&[2, 3], true, true));
         world.run_for(1_000);
         change(&mut world, 0, 3, 5);
-        world.run_for(cut_before);
+        world.run_for(partition_before);
         world.fault(&Fault::RestartEdge(0));
-        for _ in 0..LONG_CUT / 500 {
+        for _ in 0..LONG_PARTITION_MS / 500 {
             world.run_for(500);
             let edge = &world.edges[0];
             expect_that!((edge.feed.state().revision(), edge.is_ready()), eq((0, false)));
@@ -116,13 +116,13 @@
 }
 
 #[gtest]
-fn data_plane_started_beside_a_cut_off_agent_is_not_ready_until_the_cut_ends() {
+fn data_plane_restarted_with_an_isolated_agent_is_not_ready_until_the_partition_ends() {
     let mut world = settled(2);
-    world.fault(&cut(&[3], true, true));
+    world.fault(&partition(&[3], true, true));
     world.run_for(1_500);
     change(&mut world, 0, 3, 5);
     world.restart_data_plane(0);
-    for _ in 0..LONG_CUT / 500 {
+    for _ in 0..LONG_PARTITION_MS / 500 {
         world.run_for(500);
         expect_false!(world.edges[0].is_ready());
     }
@@ -133,8 +133,8 @@
 }
 
 #[gtest]
-fn agent_frozen_at_its_start_does_not_take_up_what_came_meanwhile() {
-    // Frozen at each moment of its start: what the nodes say waits in its connections.
+fn agent_frozen_at_its_start_does_not_adopt_messages_queued_meanwhile() {
+    // Freezes the agent at each point of its start, so that messages of the nodes queue on its connections.
     for moment in 0..60 {
         let mut frozen = settled(2);
         frozen.fault(&Fault::RestartEdge(0));
@@ -144,7 +144,7 @@
         frozen.run_for(300);
         change(&mut frozen, 0, 3, 5);
         frozen.run_for(2_500);
-        frozen.fault(&cut(&[3], true, true));
+        frozen.fault(&partition(&[3], true, true));
         frozen.fault(&Fault::ThawEdge(0));
         frozen.run_for(3_000);
         expect_that!(frozen.edges[0].relay.state().revision(), eq(before), "frozen after {} ms", 2 * moment);
@@ -162,7 +162,7 @@
         world.fault(&Fault::Freeze(0));
         world.run_for(1_000);
         change(&mut world, 1, 3, 5);
-        world.run_for(LONG_CUT);
+        world.run_for(LONG_PARTITION_MS);
         world.fault(&Fault::Thaw(0));
         world.run_for(1_000);
         let expected = if answered_before == 200 { 200 } else { 503 };
@@ -183,8 +183,8 @@
         world.run_for(moment);
         let answered_before = status(&world, id);
         world.fault(&Fault::Freeze(0));
-        world.run_for(LONG_CUT);
-        world.fault(&cut(&[0], true, true));
+        world.run_for(LONG_PARTITION_MS);
+        world.fault(&partition(&[0], true, true));
         world.fault(&Fault::Thaw(0));
         world.run_for(2_000);
         let expected = if answered_before == 200 { 200 } else { 503 };
@@ -192,23 +192,26 @@
     }
 }
 
-/// A heartbeat that makes a node hear its sender.
-fn heard(from: u64) -> PeerFrame {
+/// A heartbeat of another node, which makes the receiving node count its sender as heard.
+fn heartbeat_from(from: u64) -> PeerFrame {
     let heartbeat =
         PeerHeartbeat { sequence: 1, node: "other".to_owned(), life: 9, ..PeerHeartbeat::default() };
     PeerFrame { from, address: format!("other-{from}"), body: Some(PeerBody::Heartbeat(heartbeat)) }
 }
 
-fn settings(replica: u64, life: u64) -> NodeSettings {
-    NodeSettings { seed: 1, ..node_settings(replica, life, "here".to_owned(), vec!["here".to_owned()]) }
+fn settings(replica: u64, incarnation: u64) -> NodeSettings {
+    NodeSettings {
+        seed: 1,
+        ..node_settings(replica, incarnation, "here".to_owned(), vec!["here".to_owned()])
+    }
 }
 
-/// Numbers under which a node asks other nodes to acknowledge a worker's end.
-fn update_numbers(life: u64) -> BTreeSet<u64> {
+/// Update numbers that a node uses when it asks other nodes to acknowledge a worker's shutdown.
+fn update_numbers(incarnation: u64) -> BTreeSet<u64> {
     let members = vec![Member { id: ReplicaId(1), address: "here".to_owned() }];
-    let mut node = ControlNode::new(0, settings(1, life), Vec::new(), Some(members));
+    let mut node = ControlNode::new(0, settings(1, incarnation), Vec::new(), Some(members));
     let mut numbers = BTreeSet::new();
-    let mut inputs = vec![Input::Tick, Input::Peer(heard(7)), Input::Tick];
+    let mut inputs = vec![Input::Tick, Input::Peer(heartbeat_from(7)), Input::Tick];
     inputs.extend((0..40).map(|call| Input::Call(CallId(call), draining(&format!("w{call}")))));
     let mut now = 0;
     for input in inputs {
@@ -225,14 +228,14 @@
                 }
             }
         }
-        node.handle(now, Input::Peer(heard(7)));
+        node.handle(now, Input::Peer(heartbeat_from(7)));
     }
     numbers.remove(&0);
     numbers
 }
 
 #[gtest]
-fn acknowledgement_to_an_earlier_life_fits_no_end_of_this_one() {
+fn acknowledgement_to_an_earlier_incarnation_fits_no_shutdown_of_this_one() {
     let (first, second) = (update_numbers(0x1234_5678), update_numbers(0x9abc_def0));
     expect_that!(first.len(), ge(10));
     expect_that!(first.intersection(&second).count(), eq(0));
@@ -241,7 +244,8 @@
 #[gtest]
 fn node_that_has_missed_a_change_of_the_electorate_stops_serving() {
     let mut world = settled(0);
-    // Nodes 0 and 1 stay in contact, a majority of the electorate that node 0 knows. Node 1 has accepted another one.
+    // Nodes 0 and 1 stay in contact and are a majority of the electorate known to node 0, but node 1 has accepted
+    // another electorate.
     let accepted = world.cores[1].disk.iter().filter_map(|record| match Record::decode(record) {
         Ok(Record::Accepted(accepted)) => Some(accepted),
         _ => None,
@@ -262,7 +266,7 @@
     let envelope = RegisterEnvelope { to: 101, message: message.encode() };
     let frame =
         PeerFrame { from: 102, address: "core-2".to_owned(), body: Some(PeerBody::Register(envelope)) };
-    world.fault(&cut(&[2], true, true));
+    world.fault(&partition(&[2], true, true));
     world.core_input(1, Input::Peer(frame));
     world.run_for(2_000);
     for core in [0, 1] {
@@ -278,26 +282,31 @@
 fn node_that_is_back_serves_only_what_was_decided_meanwhile() {
     for moment in 0..80 {
         let mut world = settled(1);
-        world.fault(&cut(&[2], true, true));
+        world.fault(&partition(&[2], true, true));
         world.run_for(1_000 + 7 * moment);
         change(&mut world, 0, 3, 5);
         world.run_for(2_000);
-        // What brings the node up to date may be lost.
-        world.plan.spoilt = 300;
+        // Messages that bring the node up to date may be lost.
+        world.plan.disruption_per_mille = 300;
         world.fault(&Fault::Heal);
         world.run_for(4_000);
-        expect_that!(world.checkers.oldest_said_by(2), some(eq(5)), "cut for {} ms", 3_400 + 7 * moment);
+        expect_that!(
+            world.checkers.oldest_revision_sent_by(2),
+            some(eq(5)),
+            "partitioned for {} ms",
+            3_400 + 7 * moment
+        );
     }
 }
 
 #[gtest]
-fn placer_that_is_cut_off_orders_nothing_after_its_contact() {
+fn isolated_placer_orders_nothing_after_its_last_contact() {
     for seed in 0..120 {
         let plan = Plan { seed, operators: 2, workers: 2, ..Plan::script(3, 3) };
         let mut world = World::new(plan);
         world.run_for(6_000 + 37 * seed);
         let placer = world.checkers.last_placer.expect("an order was given");
-        world.fault(&cut(&[placer], true, true));
+        world.fault(&partition(&[placer], true, true));
         world.run_for(5_000);
         expect_that!(world.checkers.violations, is_empty(), "seed {seed}");
     }
@@ -312,13 +321,13 @@
         world.run_for(6_000 + 37 * seed);
         let former = world.checkers.last_placer.expect("an order was given");
         let successor = (0..3).find(|core| *core != former).expect("another core");
-        // The former stays in contact with the third node; what would tell it of the grant is lost.
-        world.fault(&Fault::CutPair(former, successor));
-        world.deaf_to_register = Some(former);
+        // The former placer stays in contact with the third node, but register messages with the new grant are dropped.
+        world.fault(&Fault::PartitionPair(former, successor));
+        world.register_unreachable = Some(former);
         world.run_for(9_000);
         taken_over += usize::from(world.checkers.last_placer == Some(successor));
         expect_that!(world.checkers.violations, is_empty(), "seed {seed}");
     }
-    // In the other seeds nothing was left to order.
+    // With the other seeds there was nothing left to order.
     expect_that!(taken_over, ge(8));
 }
--- a/crates/control/tests/orders_reordered.rs
+++ b/crates/control/tests/orders_reordered.rs
@@ -1,9 +1,9 @@
-//! Two orders on one base through two nodes, and one of them once more through the third: a search, without random choices,
-//! of all schedules that differ in few places from the order of sending.
+//! Bounded exhaustive search of message schedules, without random choices, for two concurrent orders through two nodes,
+//! one of which is resent through the third node.
 //!
-//! A schedule is a list of deviations: at a step, a link or a disk stands still for some steps, or loses its next message.
-//! Else the oldest message or write goes on. The search plays the schedule without deviations, then every schedule with one
-//! more deviation than one played before, up to the bound (`DEVIATIONS`, 1 unless told).
+//! By default the oldest message or write completes first. A schedule is a list of deviations from this order: at a
+//! step, a link or a disk stalls for some steps, or a link loses its next message. The search covers all schedules up
+//! to a number of deviations (environment variable `DEVIATIONS`, default 1).
 
 mod simulation;
 
@@ -20,18 +20,18 @@
 
 const NODES: usize = 3;
 
-/// Deliveries in which schedules may deviate.
+/// Number of steps in which a schedule may deviate.
 const STEPS: usize = 34;
 
-/// Steps for which a link or a disk stands still.
-const HELD_FOR: usize = 14;
+/// Number of steps for which a link or a disk stalls.
+const STALL_STEPS: usize = 14;
 
-/// Steps at which the first order is sent again through the third node.
-const AGAIN_AT: [usize; 2] = [10, 14];
+/// Steps at which the first order is resent through the third node.
+const RESEND_STEPS: [usize; 2] = [10, 14];
 
-const TICK: u64 = 25;
+const TICK_INTERVAL_MS: u64 = 25;
 
-/// What may happen next: a message arrives, or a record is on the disk. Each queue keeps its order.
+/// A FIFO queue of pending events: messages on a link, or writes to a disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Queue {
     Messages(usize, usize),
@@ -44,7 +44,7 @@
     Persisted(u64),
 }
 
-/// At a step, a queue begins to stand still, or its next message is lost.
+/// A queue that stalls from a step on, or loses its next message at that step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Deviation {
     step: usize,
@@ -62,16 +62,18 @@
 }
 
 impl Cluster {
-    /// Nodes in contact, on revision 3.
+    /// Creates nodes that are in contact with each other, on revision 3.
     fn settled(flaw: Option<Flaw>) -> Cluster {
         let members: Vec<Member> = (0..NODES)
             .map(|node| Member { id: ReplicaId(1 + node as u64), address: address(node) })
             .collect();
         let node = |index: usize| {
-            let (replica, life) = (1 + index as u64, 100 + index as u64);
+            let (replica, incarnation) = (1 + index as u64, 100 + index as u64);
             let seeds = (0..NODES).map(address).collect();
-            let settings =
-                NodeSettings { seed: index as u64, ..node_settings(replica, life, address(index), seeds) };
+            let settings = NodeSettings {
+                seed: index as u64,
+                ..node_settings(replica, incarnation, address(index), seeds)
+            };
             flaws::node(flaw, 1_000, settings, Vec::new(), Some(members.clone()))
         };
         let mut cluster = Cluster {
@@ -82,7 +84,7 @@
             next_call: 0,
             answers: BTreeMap::new(),
         };
-        // The placer takes its role meanwhile, so that nothing else is under way.
+        // Lets the placer take its role first, so that no other register round is in progress.
         cluster.run(500);
         let first = cluster.call(0, &order(0, 0, 3, true));
         cluster.run(100);
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Messages of the register wait for the schedule; the others arrive at once.
+    /// Queues register messages for the schedule and delivers all others at once.
     fn send(&mut self, from: usize, to: &str, frame: PeerFrame) {
         let Some(to) = (0..NODES).find(|node| address(*node) == to) else { return };
         match &frame.body {
@@ -119,7 +121,7 @@
         self.queues.entry(queue).or_default().push_back((self.next_item, item));
     }
 
-    /// Queues with something in them, the one with the oldest item first.
+    /// Non-empty queues, the one with the oldest item first.
     fn choices(&self) -> Vec<Queue> {
         let mut waiting: Vec<(u64, Queue)> =
             self.queues.iter().filter_map(|(queue, items)| Some((items.front()?.0, *queue))).collect();
@@ -127,7 +129,7 @@
         waiting.into_iter().map(|(_, queue)| queue).collect()
     }
 
-    fn go_on(&mut self, queue: Queue, lost: bool) {
+    fn complete_next(&mut self, queue: Queue, lost: bool) {
         let Some((_, item)) = self.queues.get_mut(&queue).and_then(VecDeque::pop_front) else { return };
         match (queue, item) {
             (Queue::Disk(node), Item::Persisted(token)) => self.handle(node, Input::Persisted(token)),
@@ -136,19 +138,19 @@
         }
     }
 
-    /// Lets time pass, everything in order.
+    /// Advances time and completes all pending events in order.
     fn run(&mut self, time: u64) {
         let until = self.now + time;
         while self.now < until {
             while let Some(queue) = self.choices().first().copied() {
-                self.go_on(queue, false);
+                self.complete_next(queue, false);
             }
             self.tick();
         }
     }
 
     fn tick(&mut self) {
-        self.now += TICK;
+        self.now += TICK_INTERVAL_MS;
         for node in 0..NODES {
             self.handle(node, Input::Tick);
         }
@@ -161,7 +163,7 @@
         id
     }
 
-    /// Sends an order again, to one node after the other, until it has a clear answer.
+    /// Resends an order to the nodes in turn until one gives a definite answer; returns 0 if none does.
     fn settle(&mut self, order: &Order, mut call: CallId, mut node: usize) -> u16 {
         for _ in 0..20 {
             self.run(100);
@@ -177,71 +179,73 @@
     }
 }
 
-/// What a schedule came to.
-struct Played {
-    /// Queues with something in them at each step.
+/// Result of running a schedule.
+struct ScheduleResult {
+    /// Non-empty queues at each step.
     waiting: Vec<Vec<Queue>>,
-    /// What is wrong, if anything.
-    fault: Option<String>,
+    /// Description of a wrong outcome.
+    failure: Option<String>,
 }
 
-/// Where the order that is sent again goes first, and the step at which it is sent again.
+/// Node that first receives the order that is resent, and the step at which it is resent.
 #[derive(Debug, Clone, Copy)]
 struct Variant {
     first_node: usize,
-    again_at: usize,
+    resend_step: usize,
 }
 
 fn variants() -> impl Iterator<Item = Variant> {
-    AGAIN_AT.into_iter().flat_map(|again_at| [0, 1].map(|first_node| Variant { first_node, again_at }))
+    RESEND_STEPS
+        .into_iter()
+        .flat_map(|resend_step| [0, 1].map(|first_node| Variant { first_node, resend_step }))
 }
 
-/// Plays a schedule.
-fn play(flaw: Option<Flaw>, variant: Variant, schedule: &[Deviation]) -> Played {
+/// Runs a schedule.
+fn run_schedule(flaw: Option<Flaw>, variant: Variant, schedule: &[Deviation]) -> ScheduleResult {
     let mut cluster = Cluster::settled(flaw);
     let (one, other) = (order(1, 3, 5, true), order(2, 3, 5, true));
     let calls = [0, 1].map(|node| cluster.call(node, if node == variant.first_node { &one } else { &other }));
     let (one_call, other_call) = (calls[variant.first_node], calls[1 - variant.first_node]);
-    let mut again = one_call;
+    let mut resend_call = one_call;
     let mut waiting = Vec::new();
     for step in 0..STEPS {
-        if step == variant.again_at {
-            again = cluster.call(2, &one);
+        if step == variant.resend_step {
+            resend_call = cluster.call(2, &one);
         }
         let choices = cluster.choices();
-        let stands_still = |queue: &Queue| {
+        let is_stalled = |queue: &Queue| {
             let holds = |deviation: &Deviation| {
-                !deviation.lost && (deviation.step..deviation.step + HELD_FOR).contains(&step)
+                !deviation.lost && (deviation.step..deviation.step + STALL_STEPS).contains(&step)
             };
             schedule.iter().any(|deviation| deviation.queue == *queue && holds(deviation))
         };
         for deviation in schedule.iter().filter(|deviation| deviation.lost && deviation.step == step) {
-            cluster.go_on(deviation.queue, true);
+            cluster.complete_next(deviation.queue, true);
         }
-        match choices.iter().find(|queue| !stands_still(queue)) {
-            Some(queue) => cluster.go_on(*queue, false),
+        match choices.iter().find(|queue| !is_stalled(queue)) {
+            Some(queue) => cluster.complete_next(*queue, false),
             None => cluster.tick(),
         }
         waiting.push(choices);
     }
     let first = cluster.settle(&one, one_call, variant.first_node);
     let second = cluster.settle(&other, other_call, 1 - variant.first_node);
-    let third = cluster.settle(&one, again, 2);
+    let third = cluster.settle(&one, resend_call, 2);
     let outcome = [first, second, third];
     let is_right = outcome == [200, 412, 200] || outcome == [412, 200, 412];
-    let fault = (!is_right).then(|| format!("{outcome:?}, {variant:?}, by {schedule:?}"));
-    Played { waiting, fault }
+    let failure = (!is_right).then(|| format!("{outcome:?}, {variant:?}, by {schedule:?}"));
+    ScheduleResult { waiting, failure }
 }
 
-/// Plays all schedules up to a number of deviations; returns how many, and the first fault.
+/// Runs all schedules up to a number of deviations; returns how many were run, and the first wrong outcome.
 fn search(flaw: Option<Flaw>, deviations: usize) -> (usize, Option<String>) {
     let mut open: Vec<(Variant, Vec<Deviation>)> = variants().map(|variant| (variant, Vec::new())).collect();
     let mut played = 0;
     while let Some((variant, schedule)) = open.pop() {
-        let run = play(flaw, variant, &schedule);
+        let run = run_schedule(flaw, variant, &schedule);
         played += 1;
-        if run.fault.is_some() {
-            return (played, run.fault);
+        if run.failure.is_some() {
+            return (played, run.failure);
         }
         if schedule.len() == deviations {
             continue;
@@ -264,22 +268,22 @@
 #[gtest]
 fn of_two_orders_one_is_confirmed_in_every_schedule() {
     let deviations = std::env::var("DEVIATIONS").ok().and_then(|text| text.parse().ok()).unwrap_or(1);
-    let (played, fault) = search(None, deviations);
+    let (played, failure) = search(None, deviations);
     println!("{played} schedules with up to {deviations} deviations");
-    expect_that!(fault, none());
+    expect_that!(failure, none());
     expect_that!(played, gt(300));
 }
 
 #[gtest]
 fn refusal_on_a_value_of_a_minority_is_found() {
-    let (played, fault) = search(Some(Flaw::RefusesOnMinority), 1);
-    println!("{played} schedules: {fault:?}");
-    expect_that!(fault, some(anything()));
+    let (played, failure) = search(Some(Flaw::RefusesOnMinority), 1);
+    println!("{played} schedules: {failure:?}");
+    expect_that!(failure, some(anything()));
 }
 
 #[gtest]
 fn early_acknowledgement_is_found() {
-    let (played, fault) = search(Some(Flaw::AcknowledgesEarly), 1);
-    println!("{played} schedules: {fault:?}");
-    expect_that!(fault, some(anything()));
+    let (played, failure) = search(Some(Flaw::AcknowledgesEarly), 1);
+    println!("{played} schedules: {failure:?}");
+    expect_that!(failure, some(anything()));
 }
--- a/crates/control/tests/orders_scripts.rs
+++ b/crates/control/tests/orders_scripts.rs
@@ -1,4 +1,4 @@
-//! Orders that race, and orders sent again: the shortest scripts.
+//! Scripted scenarios for concurrent orders and for orders that are sent again.
 
 mod simulation;
 
@@ -13,11 +13,11 @@
 use switchhill_control::{Answer, Call, CallId};
 use switchhill_register::{Accepted, Ballot, Electorate, Member, Record, ReplicaId, Value};
 
-/// Time in milliseconds for a call's clear answer, that of an operator.
-const ANSWER_WITHIN: u64 = 1_000;
+/// Time that an operator waits for an answer.
+const ANSWER_TIMEOUT_MS: u64 = 1_000;
 
-/// How often an order is sent until it has a clear answer.
-const MOST_TRIES: usize = 12;
+/// Maximum number of attempts to get a definite answer (a status below 500).
+const MAX_ATTEMPTS: usize = 12;
 
 fn world(cores: usize) -> World {
     let mut world = World::new(Plan::script(cores, 0));
@@ -37,27 +37,27 @@
 }
 
 fn wait(world: &mut World, id: CallId) -> Option<Answer> {
-    let until = world.now + ANSWER_WITHIN;
+    let until = world.now + ANSWER_TIMEOUT_MS;
     while world.now < until && !world.answers.contains_key(&id) {
         world.run_for(1);
     }
     world.answers.get(&id).cloned()
 }
 
-/// Sends an order until it has a clear answer, to one core node after the other.
-fn send_until_clear(world: &mut World, first_core: usize, order: &Order) -> Answer {
-    for attempt in 0..MOST_TRIES {
+/// Sends an order to the core nodes in turn until one gives a definite answer.
+fn send_until_definite(world: &mut World, first_core: usize, order: &Order) -> Answer {
+    for attempt in 0..MAX_ATTEMPTS {
         let core = (first_core + attempt) % world.cores.len();
         match send(world, core, order) {
             Some(answer) if answer.status < 500 => return answer,
             _ => world.run_for(100),
         }
     }
-    panic!("no clear answer to the order on {}", order.base_version);
+    panic!("no definite answer to the order on {}", order.base_version);
 }
 
-/// Orders on one base, sent at once to these core nodes; all first answers are lost. Returns the statuses of a second
-/// sending, each to another node.
+/// Sends orders on one base version concurrently to these core nodes and ignores the answers. Returns the statuses of
+/// resending each to another node.
 fn race(world: &mut World, orders: &[(usize, Order)]) -> Vec<u16> {
     for (core, order) in orders {
         world.script_call(*core, Call::Change(order.clone()));
@@ -66,7 +66,7 @@
     }
     let pause = world.random.u64(0..=60);
     world.run_for(pause);
-    orders.iter().map(|(core, order)| send_until_clear(world, core + 1, order).status).collect()
+    orders.iter().map(|(core, order)| send_until_definite(world, core + 1, order).status).collect()
 }
 
 fn sorted(statuses: &[u16]) -> Vec<u16> {
@@ -88,9 +88,9 @@
             ];
             let statuses = race(&mut world, &orders);
             expect_that!(sorted(&statuses), eq(&[200, 412]), "{first} and {second}");
-            // Both again, elsewhere: each hears the same as before.
+            // Sends both again through other nodes: each must get the same answer as before.
             for ((core, order), status) in orders.iter().zip(&statuses) {
-                expect_that!(send_until_clear(&mut world, core + 2, order).status, eq(*status));
+                expect_that!(send_until_definite(&mut world, core + 2, order).status, eq(*status));
             }
         }
     }
@@ -103,7 +103,7 @@
         world.random = fastrand::Rng::with_seed(seed);
         for round in 0..3 {
             let orders: Vec<(usize, Order)> = (0..8)
-                .map(|rival| (rival % 5, order(10 * round as usize + rival, round * 3, round * 3 + 3, true)))
+                .map(|index| (index % 5, order(10 * round as usize + index, round * 3, round * 3 + 3, true)))
                 .collect();
             let statuses = race(&mut world, &orders);
             expect_that!(statuses.iter().filter(|status| **status == 200).count(), eq(1), "seed {seed}");
@@ -112,17 +112,18 @@
     }
 }
 
-/// Revisions 3, 6, 9 and so on, taken one after the other.
-fn take(world: &mut World, changes: u64) -> Vec<Order> {
+/// Makes changes to revisions 3, 6, 9 and so on, one after the other.
+fn make_changes(world: &mut World, changes: u64) -> Vec<Order> {
     let orders = (0..changes).map(|step| order(step as usize, step * 3, step * 3 + 3, true));
     let orders: Vec<Order> = orders.collect();
     for (step, order) in orders.iter().enumerate() {
-        assert_eq!(send_until_clear(world, step, order).status, 200);
+        assert_eq!(send_until_definite(world, step, order).status, 200);
     }
     orders
 }
 
-/// Every order again at every core node: acknowledged or left open, and acknowledged in the end.
+/// Sends every order again to every core node: each answer is an acknowledgement or indefinite, and a retry is
+/// acknowledged.
 fn expect_known_everywhere(world: &mut World, orders: &[Order], when: &str) {
     for (number, order) in orders.iter().enumerate() {
         for core in 0..world.cores.len() {
@@ -133,15 +134,15 @@
                 );
             }
         }
-        let answer = send_until_clear(world, number, order);
+        let answer = send_until_definite(world, number, order);
         expect_that!((answer.status, code(&answer)), eq((200, 2001)), "order {number} {when}");
     }
 }
 
 #[gtest]
-fn order_taken_is_never_refused_after_changes_losses_and_new_machines() {
+fn accepted_order_is_never_refused_after_changes_losses_and_new_machines() {
     let mut world = world(3);
-    let orders = take(&mut world, 6);
+    let orders = make_changes(&mut world, 6);
     expect_known_everywhere(&mut world, &orders, "after later changes");
     for core in 0..3 {
         world.fault(&Fault::Kill { core, loses_disk: false });
@@ -150,7 +151,7 @@
     for core in 0..3 {
         world.fault(&Fault::Start(core));
     }
-    // From its first moment on: a node just started leaves it open until it is in contact.
+    // A node that has just started gives no definite answer until it is in contact with a majority.
     expect_known_everywhere(&mut world, &orders, "just after the loss of the core");
     world.fault(&Fault::Kill { core: 1, loses_disk: true });
     world.run_for(1_000);
@@ -165,26 +166,27 @@
     expect_known_everywhere(&mut world, &orders, "after a second change of the electorate");
 }
 
-/// Acknowledged on the way, the answer lost, and what took it cut off: known by the others, or open.
+/// The node that received an order is partitioned at some point of its round, and its answer is lost. It gives no
+/// definite answer meanwhile, and exactly one of this order and a competing one is accepted.
 #[gtest]
-fn order_whose_machine_is_cut_off_at_any_moment_has_one_outcome() {
+fn order_whose_machine_is_isolated_at_any_moment_has_one_outcome() {
     for moment in 0..40 {
         let mut world = world(3);
-        take(&mut world, 1);
+        make_changes(&mut world, 1);
         let (one, other) = (order(10, 3, 5, true), order(11, 3, 5, true));
         world.script_call(0, Call::Change(one.clone()));
         world.run_for(moment / 2);
-        world.fault(&Fault::Cut { hosts: vec![0], out: moment % 2 == 0, into: true });
-        let rival = send_until_clear(&mut world, 1, &other).status;
+        world.fault(&Fault::Partition { hosts: vec![0], out: moment % 2 == 0, into: true });
+        let competing = send_until_definite(&mut world, 1, &other).status;
         expect_that!(send(&mut world, 0, &one).map_or(503, |answer| answer.status), ge(500));
         world.fault(&Fault::Heal);
         world.run_for(1_000);
-        let first = send_until_clear(&mut world, 0, &one).status;
-        expect_that!(sorted(&[first, rival]), eq(&[200, 412]), "cut after {moment}/2 ms");
+        let first = send_until_definite(&mut world, 0, &one).status;
+        expect_that!(sorted(&[first, competing]), eq(&[200, 412]), "partitioned after {moment}/2 ms");
     }
 }
 
-/// The state after 5,000 changes, with the first order and one that is remembered.
+/// The state after 5,000 changes, with the first order (its digest has been dropped) and the last (its digest is kept).
 fn long_history() -> (ControlState, Order, Order) {
     let first = order(0, 0, 3, true);
     let Decision::Take(state) = ControlState::default().decide(&first) else {
@@ -267,14 +269,14 @@
 }
 
 #[gtest]
-fn order_cut_off_in_the_middle_of_its_round_is_left_open_with_its_code() {
+fn order_isolated_in_the_middle_of_its_round_is_left_open_with_its_code() {
     let mut codes = BTreeSet::new();
     for moment in 0..10 {
         let mut world = world(3);
-        take(&mut world, 1);
+        make_changes(&mut world, 1);
         let id = world.script_call(0, Call::Change(order(9, 3, 5, true)));
         world.run_for(moment);
-        world.fault(&Fault::Cut { hosts: vec![0], out: true, into: true });
+        world.fault(&Fault::Partition { hosts: vec![0], out: true, into: true });
         world.run_for(6_000);
         let answer = world.answers[&id].clone();
         codes.insert((answer.status, code(&answer)));
--- a/crates/control/tests/simulation/checkers.rs
+++ b/crates/control/tests/simulation/checkers.rs
@@ -1,13 +1,13 @@
-//! What must hold, and the bounds measured on the way.
+//! Invariants checked during a simulation, and the latencies measured.
 
 use bytes::Bytes;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use switchhill_configuration::Order;
 
-/// What a core node says.
+/// Kind of message by which a core node asserts that it is in contact with a majority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Word {
+pub enum MessageKind {
     /// A status with a quorum, to an agent.
     Status,
     /// A configuration, to an agent.
@@ -16,31 +16,31 @@
     Workers,
     /// The configuration, to an operator.
     Read,
-    /// An order is acknowledged.
+    /// Acknowledgement of an operator's order.
     Change,
-    /// Anything is refused.
+    /// Refusal of any call.
     Refusal,
-    /// The heartbeat of a worker that stays is acknowledged.
+    /// Acknowledgement of the heartbeat of a worker that is not draining.
     Heartbeat,
-    /// A worker's end is acknowledged.
+    /// Acknowledgement that a worker is draining or deregistered.
     End,
     /// An order to a worker.
     Order,
 }
 
-impl Word {
-    /// How long in milliseconds after its last contact with a majority a node may say this.
+impl MessageKind {
+    /// Longest time in milliseconds after its last contact with a majority at which a node may send this.
     fn bound_ms(self) -> u64 {
         match self {
-            Word::Order => 450,
+            MessageKind::Order => 450,
             _ => 900,
         }
     }
 }
 
-/// Age in milliseconds up to which an agent or data plane may take up an older configuration: contact of the node that
-/// hands it out, and silence of the link on which it comes.
-const TAKE_UP_WITHIN: u64 = 900 + 900 + 50;
+/// Longest time in milliseconds for which an agent or data plane may still adopt a superseded configuration. It covers
+/// the time since the sending node's majority contact and the silence of the link on which the configuration arrives.
+const ADOPTION_BOUND_MS: u64 = 900 + 900 + 50;
 
 /// An order of an operator.
 #[derive(Debug)]
@@ -56,59 +56,59 @@
 
 #[derive(Debug, Clone, Default)]
 struct Edge {
-    taken: u64,
-    held: u64,
+    agent_revision: u64,
+    data_plane_revision: u64,
     ready: bool,
 }
 
-/// All checkers.
+/// Invariant checkers, their observations and measurements.
 #[derive(Debug, Default)]
 pub struct Checkers {
     pub violations: Vec<String>,
     pub orders: Vec<SentOrder>,
-    /// Orders whose routes a revision has, of each revision seen.
+    /// Orders whose routes are present, by configuration revision seen.
     documents: BTreeMap<u64, BTreeSet<usize>>,
-    /// Revisions acknowledged, with the time; each higher than those before.
-    newest: Vec<(u64, u64)>,
+    /// Times and revisions of acknowledgements, in increasing order of revision.
+    acknowledged_revisions: Vec<(u64, u64)>,
     isolated_since: Vec<Option<u64>>,
     edges: BTreeMap<usize, Edge>,
-    /// Whether a node says what it had begun before it was frozen.
-    pub thawing: bool,
-    /// Longest time after the last possible contact at which each word was said.
-    pub last_words: BTreeMap<Word, u64>,
-    /// Words said by nodes that could not be in contact.
-    pub words: BTreeMap<Word, u64>,
-    /// Longest time between an order that was sent again after it had been acknowledged, and its next acknowledgement.
-    pub longest_again_ms: u64,
-    /// The same, counted from the end of the last fault at the earliest.
-    pub longest_again_calm_ms: u64,
-    /// Longest time at a node, while nothing is wrong, from an order's call to its acknowledgement.
+    /// Whether a node is processing the inputs that queued while it was frozen.
+    pub is_thawing: bool,
+    /// Longest time since isolation at which each kind of message was sent.
+    pub longest_isolated_ms: BTreeMap<MessageKind, u64>,
+    /// Number of messages of each kind sent by isolated nodes.
+    pub isolated_messages: BTreeMap<MessageKind, u64>,
+    /// Longest time from resending an acknowledged order to its next acknowledgement.
+    pub longest_resend_ms: u64,
+    /// The same, in fault-free periods, counted from the end of the last fault at the earliest.
+    pub longest_resend_fault_free_ms: u64,
+    /// Longest fault-free processing time at a node from an order's arrival to its acknowledgement.
     pub longest_at_node_ms: u64,
-    /// Since when nothing is wrong; [`None`] while something is.
-    pub calm_since: Option<u64>,
+    /// Start of the current fault-free period; [`None`] while a fault is active.
+    pub fault_free_since: Option<u64>,
     /// Longest time from the first sending of an order to its acknowledgement.
     pub longest_first_ms: u64,
-    /// Longest time by which a configuration that was taken up was older than the newest acknowledged.
-    pub oldest_taken_up_ms: u64,
-    /// Oldest revision that each node told with a quorum behind it, since the last fault.
-    said: BTreeMap<usize, u64>,
-    /// The node that gave the last order to a worker.
+    /// Longest time for which an adopted configuration had been superseded.
+    pub oldest_adopted_ms: u64,
+    /// Oldest revision that each node sent as backed by a quorum, since the last fault change.
+    oldest_sent: BTreeMap<usize, u64>,
+    /// Node that sent the last order to a worker.
     pub last_placer: Option<usize>,
     pub reads: u64,
-    pub again: u64,
+    pub resends: u64,
     pub orders_to_workers: u64,
 }
 
 impl Checkers {
     pub fn new(cores: usize) -> Checkers {
-        Checkers { isolated_since: vec![None; cores], calm_since: Some(0), ..Checkers::default() }
+        Checkers { isolated_since: vec![None; cores], fault_free_since: Some(0), ..Checkers::default() }
     }
 
     pub fn fail(&mut self, now: u64, what: String) {
         self.violations.push(format!("at {} ms: {what}", now - 1_000_000));
     }
 
-    pub fn broken(&self) -> bool {
+    pub fn has_violations(&self) -> bool {
         !self.violations.is_empty()
     }
 
@@ -129,47 +129,47 @@
         self.isolated_since[core].is_some()
     }
 
-    /// A core node says something.
-    pub fn word(&mut self, now: u64, core: usize, word: Word) {
-        if word == Word::Order {
+    /// Checks a message that a core node sends against the time since it was isolated.
+    pub fn check_message(&mut self, now: u64, core: usize, kind: MessageKind) {
+        if kind == MessageKind::Order {
             self.orders_to_workers += 1;
             self.last_placer = Some(core);
         }
         let Some(since) = self.isolated_since[core] else { return };
-        // What a majority decided before the freeze stays decided.
-        if self.thawing && matches!(word, Word::Change | Word::Refusal) {
+        // Decisions made by a majority before the freeze remain valid.
+        if self.is_thawing && matches!(kind, MessageKind::Change | MessageKind::Refusal) {
             return;
         }
         let age = now - since;
-        let longest = self.last_words.entry(word).or_default();
+        let longest = self.longest_isolated_ms.entry(kind).or_default();
         *longest = age.max(*longest);
-        *self.words.entry(word).or_default() += 1;
-        if age > word.bound_ms() {
-            self.fail(now, format!("core {core} said {word:?} {age} ms after its last contact"));
+        *self.isolated_messages.entry(kind).or_default() += 1;
+        if age > kind.bound_ms() {
+            self.fail(now, format!("core {core} sent {kind:?} {age} ms after its last contact"));
         }
     }
 
-    /// A node acknowledges an order.
+    /// Measures how long a node took to acknowledge an order.
     pub fn change_answered(&mut self, now: u64, arrived: u64) {
-        if let Some(calm_since) = self.calm_since {
-            self.longest_at_node_ms = self.longest_at_node_ms.max(now - arrived.max(calm_since));
+        if let Some(fault_free_since) = self.fault_free_since {
+            self.longest_at_node_ms = self.longest_at_node_ms.max(now - arrived.max(fault_free_since));
         }
     }
 
-    /// A node tells a revision with a quorum behind it.
-    pub fn said(&mut self, core: usize, revision: u64) {
-        let oldest = self.said.entry(core).or_insert(revision);
+    /// Records a revision that a node sent as backed by a quorum.
+    pub fn record_sent_revision(&mut self, core: usize, revision: u64) {
+        let oldest = self.oldest_sent.entry(core).or_insert(revision);
         *oldest = revision.min(*oldest);
     }
 
-    /// The oldest revision that a node told with a quorum behind it, since the last fault.
-    pub fn oldest_said_by(&self, core: usize) -> Option<u64> {
-        self.said.get(&core).copied()
+    /// Oldest revision that a node sent as backed by a quorum, since the last fault change.
+    pub fn oldest_revision_sent_by(&self, core: usize) -> Option<u64> {
+        self.oldest_sent.get(&core).copied()
     }
 
-    /// A fault begins or ends.
-    pub fn forget_said(&mut self) {
-        self.said.clear();
+    /// Clears the recorded revisions; called when a fault begins or ends.
+    pub fn clear_sent_revisions(&mut self) {
+        self.oldest_sent.clear();
     }
 
     pub fn add_order(&mut self, order: Order, base: u64, revision: u64, is_valid: bool) {
@@ -194,11 +194,11 @@
         now: u64,
         number: usize,
         began: u64,
-        again: bool,
+        is_resend: bool,
         core: usize,
         body: &Bytes,
     ) -> u64 {
-        let told: Value = serde_json::from_slice(body).unwrap_or_default();
+        let answer: Value = serde_json::from_slice(body).unwrap_or_default();
         let order = &mut self.orders[number];
         let (base, revision) = (order.base, order.revision);
         let was_acknowledged = order.acknowledged_at.is_some();
@@ -211,37 +211,37 @@
                 format!("core {core} acknowledged order {number}, refused {refused}, valid {is_valid}"),
             );
         }
-        if told["revision"].as_u64() != Some(revision)
-            || ![2000, 2001].contains(&told["code"].as_u64().unwrap_or(0))
+        if answer["revision"].as_u64() != Some(revision)
+            || ![2000, 2001].contains(&answer["code"].as_u64().unwrap_or(0))
         {
             self.fail(
                 now,
-                format!("the acknowledgement of order {number} on revision {revision} says {told}"),
+                format!("the acknowledgement of order {number} for revision {revision} contains {answer}"),
             );
         }
-        let rival = self.orders.iter().enumerate().find(|(other, order)| {
+        let competing = self.orders.iter().enumerate().find(|(other, order)| {
             let same = order.base == base || order.revision == revision;
             *other != number && order.acknowledged_at.is_some() && same
         });
-        if let Some((rival, _)) = rival {
+        if let Some((competing, _)) = competing {
             self.fail(
                 now,
-                format!("orders {rival} and {number} are both acknowledged on {base} as {revision}"),
+                format!("orders {competing} and {number} are both acknowledged on {base} as {revision}"),
             );
         }
-        if again && was_acknowledged {
-            self.again += 1;
-            self.longest_again_ms = self.longest_again_ms.max(now - began);
-            if let Some(calm_since) = self.calm_since {
-                let waited = now - began.max(calm_since);
-                self.longest_again_calm_ms = self.longest_again_calm_ms.max(waited);
+        if is_resend && was_acknowledged {
+            self.resends += 1;
+            self.longest_resend_ms = self.longest_resend_ms.max(now - began);
+            if let Some(fault_free_since) = self.fault_free_since {
+                let waited = now - began.max(fault_free_since);
+                self.longest_resend_fault_free_ms = self.longest_resend_fault_free_ms.max(waited);
             }
         }
         if !was_acknowledged {
             self.longest_first_ms = self.longest_first_ms.max(now - first_sent);
         }
-        if self.newest.last().is_none_or(|(_, newest)| revision > *newest) {
-            self.newest.push((now, revision));
+        if self.acknowledged_revisions.last().is_none_or(|(_, newest)| revision > *newest) {
+            self.acknowledged_revisions.push((now, revision));
         }
         self.check_documents(now);
         revision
@@ -264,12 +264,16 @@
         self.check_documents(now);
     }
 
-    /// Takes in a configuration that was read, and returns its revision.
+    /// Checks a configuration that an operator read and returns its revision.
     pub fn read(&mut self, now: u64, began: u64, core: usize, body: &Bytes) -> Option<u64> {
         self.reads += 1;
         let revision = self.document(now, body);
-        let newest =
-            self.newest.iter().rev().find(|(at, _)| *at < began).map_or(0, |(_, revision)| *revision);
+        let newest = self
+            .acknowledged_revisions
+            .iter()
+            .rev()
+            .find(|(at, _)| *at < began)
+            .map_or(0, |(_, revision)| *revision);
         if revision < newest {
             self.fail(
                 now,
@@ -279,7 +283,7 @@
         (revision > 0).then_some(revision)
     }
 
-    /// Notes what a configuration holds, which must be the same wherever its revision is seen.
+    /// Records the orders in a configuration; every copy of a revision must hold the same ones.
     fn document(&mut self, now: u64, body: &[u8]) -> u64 {
         let document: Value = serde_json::from_slice(body).unwrap_or_default();
         let revision = document["revision"].as_u64().unwrap_or(0);
@@ -299,7 +303,8 @@
         revision
     }
 
-    /// No refused or invalid order is in a configuration, and every acknowledged one is from its revision on.
+    /// Checks that no configuration contains a refused or invalid order, and that each acknowledged order is present
+    /// from its revision on.
     fn check_documents(&mut self, now: u64) {
         let mut faults = Vec::new();
         for (revision, present) in &self.documents {
@@ -323,30 +328,43 @@
         self.edges.insert(edge, Edge::default());
     }
 
-    /// What an agent holds, and its data plane.
-    pub fn edge(&mut self, now: u64, edge: usize, taken: (u64, &Bytes), held: (u64, bool)) {
+    /// Checks the configurations of an agent and its data plane: revisions never decrease, and a superseded one
+    /// is adopted only within [`ADOPTION_BOUND_MS`].
+    pub fn edge(
+        &mut self,
+        now: u64,
+        edge: usize,
+        agent_revision: (u64, &Bytes),
+        data_plane_revision: (u64, bool),
+    ) {
         let before = self.edges.entry(edge).or_default().clone();
-        let after = Edge { taken: taken.0, held: held.0, ready: held.1 };
-        if taken.0 < before.taken || held.0 < before.held {
-            self.fail(now, format!("edge {edge} went back from {before:?} to {after:?}"));
+        let after = Edge {
+            agent_revision: agent_revision.0,
+            data_plane_revision: data_plane_revision.0,
+            ready: data_plane_revision.1,
+        };
+        if agent_revision.0 < before.agent_revision || data_plane_revision.0 < before.data_plane_revision {
+            self.fail(now, format!("edge {edge} went from {before:?} back to {after:?}"));
         }
-        if taken.0 != before.taken {
-            self.document(now, taken.1);
-            self.taken_up(now, edge, "its agent took up", taken.0);
+        if agent_revision.0 != before.agent_revision {
+            self.document(now, agent_revision.1);
+            self.check_adoption(now, edge, "its agent adopted", agent_revision.0);
         }
-        if held.1 && (!before.ready || held.0 != before.held) {
-            self.taken_up(now, edge, "its data plane is ready on", held.0);
+        if data_plane_revision.1 && (!before.ready || data_plane_revision.0 != before.data_plane_revision) {
+            self.check_adoption(now, edge, "its data plane is ready on", data_plane_revision.0);
         }
         self.edges.insert(edge, after);
     }
 
-    fn taken_up(&mut self, now: u64, edge: usize, what: &str, revision: u64) {
-        let Some((since, newer)) = self.newest.iter().find(|(_, newer)| *newer > revision).copied() else {
+    fn check_adoption(&mut self, now: u64, edge: usize, what: &str, revision: u64) {
+        let Some((since, newer)) =
+            self.acknowledged_revisions.iter().find(|(_, newer)| *newer > revision).copied()
+        else {
             return;
         };
         let age = now - since;
-        self.oldest_taken_up_ms = self.oldest_taken_up_ms.max(age);
-        if age > TAKE_UP_WITHIN {
+        self.oldest_adopted_ms = self.oldest_adopted_ms.max(age);
+        if age > ADOPTION_BOUND_MS {
             self.fail(
                 now,
                 format!("edge {edge}: {what} {revision}, {newer} was acknowledged {age} ms before"),
@@ -354,13 +372,14 @@
         }
     }
 
-    /// The end of a run, after a calm time: all that was acknowledged is there.
+    /// Checks, after the fault-free end of a run, that every data plane is ready on the newest
+    /// acknowledged revision and that this revision was seen in a read or at an agent.
     pub fn end(&mut self) {
-        let newest = self.newest.last().map_or(0, |(_, revision)| *revision);
+        let newest = self.acknowledged_revisions.last().map_or(0, |(_, revision)| *revision);
         let behind: Vec<String> = self
             .edges
             .iter()
-            .filter(|(_, edge)| edge.held < newest || !edge.ready)
+            .filter(|(_, edge)| edge.data_plane_revision < newest || !edge.ready)
             .map(|(index, edge)| format!("edge {index} ends as {edge:?}, {newest} was acknowledged"))
             .collect();
         for fault in behind {
--- a/crates/control/tests/simulation/core_machine.rs
+++ b/crates/control/tests/simulation/core_machine.rs
@@ -1,30 +1,29 @@
-//! A core machine: its disk, its process, and what waits for it while it is frozen.
+//! Core machines: disk, process, and the inputs queued while the process is frozen.
 
-use super::checkers::Word;
+use super::checkers::MessageKind;
 use super::flaws::{self, CoreNode};
 use super::node_settings::node_settings;
-use super::{Connection, Event, World, TICK_EVERY};
+use super::{Connection, Event, World, TICK_INTERVAL_MS};
 use std::collections::{BTreeMap, VecDeque};
 use switchhill_control::{Input, NodeSettings, SubscriberId};
 use switchhill_protocol::{Downstream, DownstreamBody, PeerBody, PeerFrame};
 use switchhill_register::{Member, ReplicaId};
 
-/// The running process.
+/// A running core process.
 pub struct Process {
     pub node: Box<dyn CoreNode>,
     pub connections: BTreeMap<SubscriberId, Connection>,
 }
 
-/// A core machine.
 pub struct CoreMachine {
     pub index: usize,
     pub disk: Vec<Vec<u8>>,
     pub replica: u64,
-    pub life: u64,
+    pub incarnation: u64,
     pub frozen: bool,
     pub inbox: VecDeque<Input>,
     pub process: Option<Process>,
-    /// When the last record is on the disk: writes end in order.
+    /// Completion time of the last write; writes complete in order.
     pub disk_busy_until: u64,
 }
 
@@ -38,7 +37,7 @@
             index,
             disk: Vec::new(),
             replica: 100 + index as u64,
-            life: 0,
+            incarnation: 0,
             frozen: false,
             inbox: VecDeque::new(),
             process: None,
@@ -57,25 +56,25 @@
         let members = (0..self.plan.cores)
             .map(|core| Member { id: ReplicaId(100 + core as u64), address: address(core) });
         let machine = &mut self.cores[core];
-        machine.life += 1;
-        let life = machine.replica * 1_000 + machine.life;
+        machine.incarnation += 1;
+        let incarnation = machine.replica * 1_000 + machine.incarnation;
         let settings = NodeSettings {
             machines_lost: (self.plan.cores - 1) / 2,
             fencing: false,
-            seed: self.plan.seed * 1_000 + machine.replica * 10 + machine.life,
-            ..node_settings(machine.replica, life, address(core), seeds)
+            seed: self.plan.seed * 1_000 + machine.replica * 10 + machine.incarnation,
+            ..node_settings(machine.replica, incarnation, address(core), seeds)
         };
         let genesis = is_genesis.then(|| members.collect());
         let node = flaws::node(self.plan.flaw, self.now, settings, machine.disk.clone(), genesis);
         machine.process = Some(Process { node, connections: BTreeMap::new() });
         machine.frozen = false;
         machine.disk_busy_until = 0;
-        let life = machine.life;
-        let phase = self.random.u64(0..TICK_EVERY);
-        self.after(phase, Event::Tick(core, life));
+        let incarnation = machine.incarnation;
+        let phase = self.random.u64(0..TICK_INTERVAL_MS);
+        self.after(phase, Event::Tick(core, incarnation));
     }
 
-    /// Ends the process; what was not yet on the disk is lost. Its connections break.
+    /// Ends the process: incomplete writes are lost and its connections break.
     pub fn kill_core(&mut self, core: usize, loses_disk: bool) {
         let machine = &mut self.cores[core];
         let Some(process) = machine.process.take() else { return };
@@ -86,30 +85,31 @@
             machine.replica += 100;
         }
         for connection in process.connections.into_values() {
-            let (edge, edge_life, link) = (connection.edge, connection.edge_life, connection.link);
-            self.after(2, Event::ConnectFailed { edge, edge_life, link });
+            let (edge, edge_incarnation, link) =
+                (connection.edge, connection.edge_incarnation, connection.link);
+            self.after(2, Event::ConnectFailed { edge, edge_incarnation, link });
         }
     }
 
-    pub fn tick_core(&mut self, core: usize, life: u64) {
+    pub fn tick_core(&mut self, core: usize, incarnation: u64) {
         let machine = &self.cores[core];
-        if machine.life != life || machine.process.is_none() {
+        if machine.incarnation != incarnation || machine.process.is_none() {
             return;
         }
         if !machine.frozen {
             self.core_input(core, Input::Tick);
         }
-        self.after(TICK_EVERY, Event::Tick(core, life));
+        self.after(TICK_INTERVAL_MS, Event::Tick(core, incarnation));
     }
 
-    /// Gives an input to the node of one life of a core machine.
-    pub fn life_input(&mut self, core: usize, life: u64, input: Input) {
-        if self.cores[core].life == life {
+    /// Passes an input to a node if it still runs in this incarnation.
+    pub fn incarnation_input(&mut self, core: usize, incarnation: u64, input: Input) {
+        if self.cores[core].incarnation == incarnation {
             self.core_input(core, input);
         }
     }
 
-    /// Gives an input to a node; while it is frozen, inputs wait.
+    /// Passes an input to a node, or queues it while the node is frozen.
     pub fn core_input(&mut self, core: usize, input: Input) {
         let machine = &mut self.cores[core];
         let Some(process) = &mut machine.process else { return };
@@ -118,10 +118,10 @@
             return;
         }
         let outputs = process.node.handle(self.now, input);
-        self.carry_out(core, outputs);
+        self.execute_outputs(core, outputs);
     }
 
-    /// The node goes on: what waited for it comes in order, and its ticks run again.
+    /// Resumes the node: queued inputs are processed in order, possibly after a tick.
     pub fn thaw_core(&mut self, core: usize) {
         let machine = &mut self.cores[core];
         if !std::mem::take(&mut machine.frozen) {
@@ -138,14 +138,14 @@
 
     pub fn send_peer(&mut self, from: usize, address: &str, frame: PeerFrame) {
         let Some(to) = (0..self.plan.cores).find(|core| self::address(*core) == address) else { return };
-        if !self.network.passes(from, to) || self.random.u32(0..1_000) < self.plan.spoilt {
+        if !self.network.passes(from, to) || self.random.u32(0..1_000) < self.plan.disruption_per_mille {
             return;
         }
-        if self.deaf_to_register == Some(to) && matches!(frame.body, Some(PeerBody::Register(_))) {
+        if self.register_unreachable == Some(to) && matches!(frame.body, Some(PeerBody::Register(_))) {
             return;
         }
         let delay = self.delay();
-        if self.random.u32(0..1_000) < self.plan.spoilt {
+        if self.random.u32(0..1_000) < self.plan.disruption_per_mille {
             let late = self.random.u64(1..=300);
             self.after(delay + late, Event::Peer { from, to, frame: frame.clone() });
         }
@@ -157,13 +157,13 @@
             if self.random.u32(0..20) == 0 { self.random.u64(20..=150) } else { self.random.u64(1..=4) };
         let machine = &mut self.cores[core];
         machine.disk_busy_until = (self.now + delay).max(machine.disk_busy_until);
-        let (life, wait) = (machine.life, machine.disk_busy_until - self.now);
-        self.after(wait, Event::Persisted { core, life, token, record });
+        let (incarnation, wait) = (machine.incarnation, machine.disk_busy_until - self.now);
+        self.after(wait, Event::Persisted { core, incarnation, token, record });
     }
 
-    pub fn persisted(&mut self, core: usize, life: u64, token: u64, record: Vec<u8>) {
+    pub fn persisted(&mut self, core: usize, incarnation: u64, token: u64, record: Vec<u8>) {
         let machine = &mut self.cores[core];
-        if machine.life != life || machine.process.is_none() {
+        if machine.incarnation != incarnation || machine.process.is_none() {
             return;
         }
         machine.disk.push(record);
@@ -171,21 +171,23 @@
     }
 
     pub fn send_subscriber(&mut self, core: usize, id: SubscriberId, message: Downstream) {
-        let word = match &message.body {
-            Some(DownstreamBody::Status(status)) if status.quorum => Some(Word::Status),
-            Some(DownstreamBody::Configuration(_)) => Some(Word::Configuration),
-            Some(DownstreamBody::Workers(workers)) if workers.whole => Some(Word::Workers),
+        let kind = match &message.body {
+            Some(DownstreamBody::Status(status)) if status.quorum => Some(MessageKind::Status),
+            Some(DownstreamBody::Configuration(_)) => Some(MessageKind::Configuration),
+            Some(DownstreamBody::Workers(workers)) if workers.whole => Some(MessageKind::Workers),
             _ => None,
         };
         match &message.body {
             Some(DownstreamBody::Status(status)) if status.quorum => {
-                self.checkers.said(core, status.revision);
+                self.checkers.record_sent_revision(core, status.revision);
+            }
+            Some(DownstreamBody::Configuration(configuration)) => {
+                self.checkers.record_sent_revision(core, configuration.revision)
             }
-            Some(DownstreamBody::Configuration(told)) => self.checkers.said(core, told.revision),
             _ => {}
         }
-        if let Some(word) = word {
-            self.checkers.word(self.now, core, word);
+        if let Some(kind) = kind {
+            self.checkers.check_message(self.now, core, kind);
         }
         let connection = self.cores[core].process.as_ref().and_then(|process| process.connections.get(&id));
         if let Some(connection) = connection.copied() {
@@ -196,9 +198,10 @@
     pub fn close_subscriber(&mut self, core: usize, id: SubscriberId) {
         let Some(process) = &mut self.cores[core].process else { return };
         if let Some(connection) = process.connections.remove(&id) {
-            let (edge, edge_life, link) = (connection.edge, connection.edge_life, connection.link);
+            let (edge, edge_incarnation, link) =
+                (connection.edge, connection.edge_incarnation, connection.link);
             if self.network.passes(core, self.plan.cores + edge) {
-                self.after(3, Event::ConnectFailed { edge, edge_life, link });
+                self.after(3, Event::ConnectFailed { edge, edge_incarnation, link });
             }
         }
     }
--- a/crates/control/tests/simulation/edge_machine.rs
+++ b/crates/control/tests/simulation/edge_machine.rs
@@ -1,7 +1,7 @@
-//! A machine with an agent and a data plane.
+//! Edge machines, each with an agent and a data plane.
 
 use super::core_machine::address;
-use super::{Connection, Event, World, TICK_EVERY};
+use super::{Connection, Event, World, TICK_INTERVAL_MS};
 use std::collections::{BTreeMap, VecDeque};
 use switchhill_control::{Input, SubscriberId};
 use switchhill_distribution::{FeedId, FeedState, LinkId, LinkSettings, Relay, RelayInput, RelayOutput};
@@ -10,104 +10,104 @@
 
 const FEED: FeedId = FeedId(1);
 
-/// Links that an agent keeps.
+/// Number of links that an agent maintains.
 const LINKS: usize = 3;
 
-/// A machine with an agent and a data plane; a restart replaces both.
+/// A machine with an agent and a data plane; a restart replaces the state of both.
 pub struct EdgeMachine {
     pub index: usize,
-    pub life: u64,
+    pub incarnation: u64,
     pub relay: Relay,
     pub feed: FeedState,
     pub connections: BTreeMap<LinkId, Connection>,
     pub frozen: bool,
     inbox: VecDeque<RelayInput>,
     next_subscriber: u64,
-    asks: u64,
+    demand_ticks: u64,
 }
 
 impl EdgeMachine {
     pub fn new(index: usize) -> EdgeMachine {
         EdgeMachine {
             index,
-            life: 0,
+            incarnation: 0,
             relay: Relay::new("none", "zone", Vec::new(), LinkSettings::default()),
             feed: FeedState::new("none", "zone"),
             connections: BTreeMap::new(),
             frozen: false,
             inbox: VecDeque::new(),
             next_subscriber: 0,
-            asks: 0,
+            demand_ticks: 0,
         }
     }
 
-    /// Whether the data plane would call itself ready.
+    /// Whether the data plane would report itself as ready.
     pub fn is_ready(&self) -> bool {
         self.feed.state().document().is_some() && self.feed.state().confirmed()
     }
 }
 
 impl World {
-    /// Starts the agent and its data plane anew; both have forgotten everything.
+    /// Restarts the agent and its data plane with empty state.
     pub fn start_edge(&mut self, edge: usize) {
         let seeds: Vec<String> = (0..self.plan.cores).map(address).collect();
         let machine = &mut self.edges[edge];
         let broken = std::mem::take(&mut machine.connections);
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.frozen = false;
         machine.inbox.clear();
         let name = format!("edge-{edge}");
         let settings = LinkSettings { wanted: LINKS, ..LinkSettings::default() };
         machine.relay = Relay::new(&name, "zone", seeds, settings);
         machine.feed = FeedState::new(&name, "zone");
-        let (life, hello) = (machine.life, machine.feed.hello());
+        let (incarnation, hello) = (machine.incarnation, machine.feed.hello());
         for connection in broken.into_values() {
-            self.stream(true, connection, Event::Hangup(connection));
+            self.stream(true, connection, Event::Disconnected(connection));
         }
         self.checkers.edge_started(edge);
-        self.edge_input(edge, life, RelayInput::Feed(FEED, hello));
-        let phase = self.random.u64(0..TICK_EVERY);
-        self.after(phase, Event::EdgeTick(edge, life));
+        self.edge_input(edge, incarnation, RelayInput::Feed(FEED, hello));
+        let phase = self.random.u64(0..TICK_INTERVAL_MS);
+        self.after(phase, Event::EdgeTick(edge, incarnation));
     }
 
-    /// Starts the data plane anew beside the agent that lives on.
+    /// Restarts the data plane alone; the agent keeps running.
     pub fn restart_data_plane(&mut self, edge: usize) {
         let machine = &mut self.edges[edge];
         machine.feed = FeedState::new(&format!("edge-{edge}"), "zone");
-        let (life, hello) = (machine.life, machine.feed.hello());
+        let (incarnation, hello) = (machine.incarnation, machine.feed.hello());
         self.checkers.edge_started(edge);
-        self.edge_input(edge, life, RelayInput::FeedGone(FEED));
-        self.edge_input(edge, life, RelayInput::Feed(FEED, hello));
+        self.edge_input(edge, incarnation, RelayInput::FeedGone(FEED));
+        self.edge_input(edge, incarnation, RelayInput::Feed(FEED, hello));
     }
 
-    pub fn tick_edge(&mut self, edge: usize, life: u64) {
-        if self.edges[edge].life != life {
+    pub fn tick_edge(&mut self, edge: usize, incarnation: u64) {
+        if self.edges[edge].incarnation != incarnation {
             return;
         }
         if !self.edges[edge].frozen {
-            self.edge_input(edge, life, RelayInput::Tick);
-            self.ask_for_model(edge, life);
+            self.edge_input(edge, incarnation, RelayInput::Tick);
+            self.report_missing_model(edge, incarnation);
         }
-        self.after(TICK_EVERY, Event::EdgeTick(edge, life));
+        self.after(TICK_INTERVAL_MS, Event::EdgeTick(edge, incarnation));
     }
 
-    /// The data plane asks for models that stand nowhere, so that the placer has something to order.
-    fn ask_for_model(&mut self, edge: usize, life: u64) {
-        self.edges[edge].asks += 1;
-        if !self.edges[edge].asks.is_multiple_of(10) {
+    /// Reports missing models from time to time, so that the placer has models to load.
+    fn report_missing_model(&mut self, edge: usize, incarnation: u64) {
+        self.edges[edge].demand_ticks += 1;
+        if !self.edges[edge].demand_ticks.is_multiple_of(10) {
             return;
         }
         let model = format!("m{}", self.random.u32(0..4));
         let missing =
             Missing { service: "s".to_owned(), model, adapter: String::new(), waiting: 2, aim_ms: 500 };
         let message = Upstream { body: Some(UpstreamBody::Missing(missing)) };
-        self.edge_input(edge, life, RelayInput::Feed(FEED, message));
+        self.edge_input(edge, incarnation, RelayInput::Feed(FEED, message));
     }
 
-    /// Gives an input to an agent; while it is frozen, inputs wait.
-    pub fn edge_input(&mut self, edge: usize, life: u64, input: RelayInput) {
+    /// Passes an input to an agent, or queues it while the agent is frozen.
+    pub fn edge_input(&mut self, edge: usize, incarnation: u64, input: RelayInput) {
         let machine = &mut self.edges[edge];
-        if machine.life != life {
+        if machine.incarnation != incarnation {
             return;
         }
         if machine.frozen {
@@ -141,9 +141,9 @@
         if !std::mem::take(&mut self.edges[edge].frozen) {
             return;
         }
-        let life = self.edges[edge].life;
+        let incarnation = self.edges[edge].incarnation;
         while let Some(input) = self.edges[edge].inbox.pop_front() {
-            self.edge_input(edge, life, input);
+            self.edge_input(edge, incarnation, input);
         }
     }
 
@@ -154,36 +154,38 @@
         let machine = &mut self.edges[edge];
         machine.next_subscriber += 1;
         let subscriber =
-            SubscriberId(1_000 * (edge as u64 + 1) + 100_000 * machine.life + machine.next_subscriber);
-        let edge_life = machine.life;
+            SubscriberId(1_000 * (edge as u64 + 1) + 100_000 * machine.incarnation + machine.next_subscriber);
+        let edge_incarnation = machine.incarnation;
         let passes = self.network.passes(host, core) && self.network.passes(core, host);
         if !passes {
             return;
         }
-        let (core_life, runs) = (self.cores[core].life, self.cores[core].process.is_some());
+        let (core_incarnation, runs) = (self.cores[core].incarnation, self.cores[core].process.is_some());
         if !runs {
-            self.after(3, Event::ConnectFailed { edge, edge_life, link });
+            self.after(3, Event::ConnectFailed { edge, edge_incarnation, link });
             return;
         }
-        let connection = Connection { edge, edge_life, link, core, core_life, subscriber };
+        let connection = Connection { edge, edge_incarnation, link, core, core_incarnation, subscriber };
         let delay = 2 * self.delay();
         self.after(delay, Event::Connected(connection));
     }
 
     pub fn connected(&mut self, connection: Connection) {
-        let Connection { edge, edge_life, link, core, core_life, subscriber } = connection;
-        if self.edges[edge].life != edge_life || self.cores[core].life != core_life {
+        let Connection { edge, edge_incarnation, link, core, core_incarnation, subscriber } = connection;
+        if self.edges[edge].incarnation != edge_incarnation
+            || self.cores[core].incarnation != core_incarnation
+        {
             return;
         }
         let Some(process) = &mut self.cores[core].process else { return };
         process.connections.insert(subscriber, connection);
         self.edges[edge].connections.insert(link, connection);
-        self.edge_input(edge, edge_life, RelayInput::LinkUp(link));
+        self.edge_input(edge, edge_incarnation, RelayInput::LinkUp(link));
     }
 
     fn close_link(&mut self, edge: usize, link: LinkId) {
         if let Some(connection) = self.edges[edge].connections.remove(&link) {
-            self.stream(true, connection, Event::Hangup(connection));
+            self.stream(true, connection, Event::Disconnected(connection));
         }
     }
 
@@ -193,14 +195,14 @@
         }
     }
 
-    pub fn hung_up(&mut self, connection: Connection) {
-        if self.cores[connection.core].life != connection.core_life {
+    pub fn disconnected(&mut self, connection: Connection) {
+        if self.cores[connection.core].incarnation != connection.core_incarnation {
             return;
         }
         if let Some(process) = &mut self.cores[connection.core].process {
             process.connections.remove(&connection.subscriber);
         }
         let gone = Input::SubscriberDisconnected(connection.subscriber);
-        self.life_input(connection.core, connection.core_life, gone);
+        self.incarnation_input(connection.core, connection.core_incarnation, gone);
     }
 }
--- a/crates/control/tests/simulation/flaws.rs
+++ b/crates/control/tests/simulation/flaws.rs
@@ -1,4 +1,4 @@
-//! Planted faults: wrappers around a node that break one rule each.
+//! Fault seeding: wrappers around a node, each of which violates one rule that the checkers must enforce.
 
 use bytes::Bytes;
 use std::collections::BTreeSet;
@@ -7,28 +7,28 @@
 use switchhill_protocol::{Configuration, Downstream, DownstreamBody, PeerBody, PeerFrame, UpstreamBody};
 use switchhill_register::{Accepted, Member, Record};
 
-/// A rule that a node breaks.
+/// Seeded flaw of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// It calls itself in contact in every status.
+    /// Reports a quorum in every status.
     StatusAlwaysQuorum,
-    /// It takes every node that it hears for one that hears it.
+    /// Assumes that every node whose heartbeats arrive also receives this node's heartbeats.
     EchoTakenForGranted,
-    /// It hands its configuration to whoever says hello, in contact or not.
+    /// Sends its configuration on every hello or fetch, even without a quorum.
     ConfigurationWithoutQuorum,
-    /// It answers reads with what it last answered.
+    /// Answers reads with its last answer.
     ReadsFromMemory,
-    /// It acknowledges a worker's end by itself.
+    /// Acknowledges a worker's deregistration without other nodes.
     EndsAcknowledgedAlone,
-    /// It does not know an order again.
+    /// Does not recognize an order that is sent again.
     ForgetsDigests,
-    /// It refuses an order on a value that it has accepted, chosen or not.
+    /// Refuses an order because of a locally accepted value that may not be chosen.
     RefusesOnMinority,
-    /// It acknowledges an order that a majority has not accepted yet.
+    /// Acknowledges an order before a majority has accepted it.
     AcknowledgesEarly,
 }
 
-/// A node, or one with a flaw.
+/// A correct or flawed core node.
 pub trait CoreNode {
     fn handle(&mut self, now: u64, input: Input) -> Vec<Output>;
 }
@@ -47,15 +47,15 @@
     genesis: Option<Vec<Member>>,
 ) -> Box<dyn CoreNode> {
     let replica = settings.replica_id;
-    let life = settings.incarnation;
+    let incarnation = settings.incarnation;
     let accepted = disk.iter().filter_map(|record| accepted(record)).next_back();
     let node = ControlNode::new(now, settings, disk, genesis);
     let Some(flaw) = flaw else { return Box::new(node) };
-    Box::new(Flawed {
+    Box::new(FlawedNode {
         flaw,
         node,
         replica,
-        life,
+        incarnation,
         sequence: 0,
         changes: 0,
         configuration: None,
@@ -65,12 +65,12 @@
     })
 }
 
-struct Flawed {
+struct FlawedNode {
     flaw: Flaw,
     node: ControlNode,
     replica: u64,
-    life: u64,
-    /// Sequence of the last heartbeat that it sent.
+    incarnation: u64,
+    /// Sequence number of the last heartbeat sent.
     sequence: u64,
     changes: usize,
     configuration: Option<Configuration>,
@@ -86,24 +86,24 @@
     }
 }
 
-impl CoreNode for Flawed {
+impl CoreNode for FlawedNode {
     fn handle(&mut self, now: u64, input: Input) -> Vec<Output> {
-        let (input, mut before) = self.spoil(input);
+        let (input, mut before) = self.intercept_input(input);
         let outputs = input.map(|input| self.node.handle(now, input)).unwrap_or_default();
-        before.extend(outputs.into_iter().map(|output| self.spoil_output(output)));
+        before.extend(outputs.into_iter().map(|output| self.intercept_output(output)));
         before
     }
 }
 
-impl Flawed {
-    fn spoil(&mut self, input: Input) -> (Option<Input>, Vec<Output>) {
+impl FlawedNode {
+    fn intercept_input(&mut self, input: Input) -> (Option<Input>, Vec<Output>) {
         match (self.flaw, input) {
             (Flaw::EchoTakenForGranted, Input::Peer(frame)) => {
                 (Some(Input::Peer(self.echo(frame))), Vec::new())
             }
             (Flaw::ConfigurationWithoutQuorum, Input::Subscriber(id, message)) => {
                 let asks = matches!(message.body, Some(UpstreamBody::Hello(_) | UpstreamBody::Fetch(_)));
-                let given = if asks { self.hand_out(id) } else { None };
+                let given = if asks { self.configuration_output(id) } else { None };
                 (Some(Input::Subscriber(id, message)), given.into_iter().collect())
             }
             (Flaw::ReadsFromMemory, Input::Call(id, Call::Read)) => match self.read.clone() {
@@ -143,13 +143,13 @@
     fn echo(&self, mut frame: PeerFrame) -> PeerFrame {
         if let Some(PeerBody::Heartbeat(heartbeat)) = &mut frame.body {
             heartbeat.echoes.retain(|echo| echo.from != self.replica);
-            let (from, life, sequence) = (self.replica, self.life, self.sequence);
-            heartbeat.echoes.push(switchhill_protocol::Echo { from, life, sequence });
+            let (from, incarnation, sequence) = (self.replica, self.incarnation, self.sequence);
+            heartbeat.echoes.push(switchhill_protocol::Echo { from, life: incarnation, sequence });
         }
         frame
     }
 
-    fn hand_out(&self, id: SubscriberId) -> Option<Output> {
+    fn configuration_output(&self, id: SubscriberId) -> Option<Output> {
         let configuration = self.configuration.clone()?;
         let message = Downstream { body: Some(DownstreamBody::Configuration(configuration)) };
         Some(Output::Subscribers(vec![id], message))
@@ -171,7 +171,7 @@
         Some(ControlState::decode(&accepted.value.data).ok()?.decide(order))
     }
 
-    fn spoil_output(&mut self, output: Output) -> Output {
+    fn intercept_output(&mut self, output: Output) -> Output {
         match output {
             Output::Subscribers(ids, mut message) => {
                 match &mut message.body {
--- a/crates/control/tests/simulation/mod.rs
+++ b/crates/control/tests/simulation/mod.rs
@@ -1,7 +1,8 @@
-//! A few core nodes with operators, workers, agents and data planes in virtual time, all drawn from a seed.
+//! Deterministic simulation of core nodes, operators, workers, agents and data planes in virtual time, driven by a
+//! seed.
 //!
-//! The nodes, agents and data planes are the real state machines; network, disks and processes are modelled: delay, loss,
-//! duplication, cuts in one direction, freezes, restarts with the disk kept or lost.
+//! Nodes, agents and data planes are the production state machines. The network, disks and processes are modelled:
+//! message delay, loss and duplication, one-way partitions, process pauses, and restarts with the disk kept or lost.
 #![allow(dead_code)]
 
 pub mod checkers;
@@ -14,7 +15,7 @@
 pub mod operator;
 pub mod worker;
 
-use checkers::{Checkers, Word};
+use checkers::{Checkers, MessageKind};
 use core_machine::CoreMachine;
 use edge_machine::EdgeMachine;
 use faults::{Fault, Network};
@@ -26,39 +27,37 @@
 use switchhill_protocol::{Downstream, PeerFrame, Upstream};
 use worker::Worker;
 
-/// Time in milliseconds between two ticks of a process.
-const TICK_EVERY: u64 = 50;
+/// Interval between two ticks of a process.
+const TICK_INTERVAL_MS: u64 = 50;
 
-/// Time in milliseconds at the end of a run in which there are no faults.
-pub const CALM_END: u64 = 7_000;
+/// Length of the fault-free period at the end of a run.
+pub const FAULT_FREE_END_MS: u64 = 7_000;
 
-/// What a run is made of.
+/// Parameters of a simulation run.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Seed of all random choices.
     pub seed: u64,
-    /// Core machines.
+    /// Number of core machines.
     pub cores: usize,
-    /// Machines with an agent and a data plane.
+    /// Number of machines with an agent and a data plane.
     pub edges: usize,
-    /// Operators.
     pub operators: usize,
-    /// Workers.
     pub workers: usize,
-    /// Faults with their times.
+    /// Faults, with the milliseconds from the start of the run.
     pub faults: Vec<(u64, Fault)>,
-    /// When the run ends.
+    /// Length of the run in milliseconds.
     pub ends_at: u64,
-    /// Share of calls and workers' heartbeats that go to cut-off machines, in per cent.
-    pub lured: u32,
-    /// Messages between core machines that are lost, and that are doubled, in per mille each.
-    pub spoilt: u32,
-    /// A flaw that is put into all nodes.
+    /// Percentage of calls and worker heartbeats that are directed at isolated core machines.
+    pub isolated_target_percent: u32,
+    /// Loss rate, and likewise duplication rate, of messages between core machines, in per mille.
+    pub disruption_per_mille: u32,
+    /// Flaw injected into every core node.
     pub flaw: Option<Flaw>,
 }
 
 impl Plan {
-    /// Nobody acts and nothing goes wrong but what a script does.
+    /// A run without scheduled faults, operators or workers: the test drives it.
     pub fn script(cores: usize, edges: usize) -> Plan {
         Plan {
             seed: 1,
@@ -68,8 +67,8 @@
             workers: 0,
             faults: Vec::new(),
             ends_at: 60_000,
-            lured: 0,
-            spoilt: 0,
+            isolated_target_percent: 0,
+            disruption_per_mille: 0,
             flaw: None,
         }
     }
@@ -79,50 +78,50 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Connection {
     pub edge: usize,
-    pub edge_life: u64,
+    pub edge_incarnation: u64,
     pub link: LinkId,
     pub core: usize,
-    pub core_life: u64,
+    pub core_incarnation: u64,
     pub subscriber: SubscriberId,
 }
 
-/// Who made a call, by an index.
+/// Originator of a call, with its index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Caller {
     Operator(usize),
     Worker(usize),
 }
 
-/// What happens at a time.
+/// A scheduled event.
 #[derive(Debug, Clone)]
 pub enum Event {
     Tick(usize, u64),
     EdgeTick(usize, u64),
-    Act(Caller),
+    Step(Caller),
     Fault(Fault),
     Peer { from: usize, to: usize, frame: PeerFrame },
-    Persisted { core: usize, life: u64, token: u64, record: Vec<u8> },
+    Persisted { core: usize, incarnation: u64, token: u64, record: Vec<u8> },
     Connected(Connection),
-    ConnectFailed { edge: usize, edge_life: u64, link: LinkId },
-    Hangup(Connection),
+    ConnectFailed { edge: usize, edge_incarnation: u64, link: LinkId },
+    Disconnected(Connection),
     ToCore(Connection, Upstream),
     ToEdge(Connection, Downstream),
     Called { caller: Caller, number: u64, core: usize, call: Call },
     Answered { caller: Caller, number: u64, core: usize, answer: Answer },
-    Given { core: usize, life: u64, input: Input },
+    WorkerAnswer { core: usize, incarnation: u64, input: Input },
 }
 
-/// A call that a core machine works on.
+/// A call in progress at a core machine.
 #[derive(Debug, Clone)]
 pub struct OpenCall {
     pub caller: Caller,
     pub number: u64,
-    pub word: Word,
+    pub kind: MessageKind,
     /// When it reached the node.
     pub arrived: u64,
 }
 
-/// The machines and what is on its way between them.
+/// State of the simulation: machines, clients and scheduled events.
 pub struct World {
     pub now: u64,
     pub plan: Plan,
@@ -134,16 +133,16 @@
     pub workers: Vec<Worker>,
     pub checkers: Checkers,
     pub calls: BTreeMap<CallId, OpenCall>,
-    /// All answers of core nodes, lost ones included.
+    /// All answers of core nodes, including those lost in transit.
     pub answers: BTreeMap<CallId, Answer>,
-    /// A core machine that the register's messages do not reach.
-    pub deaf_to_register: Option<usize>,
+    /// Core machine to which all register messages are dropped.
+    pub register_unreachable: Option<usize>,
     queue: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     next_call: u64,
-    /// Messages of connections whose direction is cut, in order.
+    /// Connection messages held back by a partition, in order of sending.
     held: Vec<Event>,
-    /// When the last message of a connection arrives, by direction: connections keep the order.
+    /// Arrival time of the last message per direction of a connection, which keeps delivery in order.
     last_arrival: BTreeMap<(bool, Connection), u64>,
 }
 
@@ -160,7 +159,7 @@
             checkers: Checkers::new(plan.cores),
             calls: BTreeMap::new(),
             answers: BTreeMap::new(),
-            deaf_to_register: None,
+            register_unreachable: None,
             queue: BTreeMap::new(),
             next_event: 0,
             next_call: 0,
@@ -182,29 +181,29 @@
             self.start_edge(edge);
         }
         for operator in 0..self.plan.operators {
-            self.after(1_500 + 100 * operator as u64, Event::Act(Caller::Operator(operator)));
+            self.after(1_500 + 100 * operator as u64, Event::Step(Caller::Operator(operator)));
         }
         for worker in 0..self.plan.workers {
-            self.after(1_000 + 70 * worker as u64, Event::Act(Caller::Worker(worker)));
+            self.after(1_000 + 70 * worker as u64, Event::Step(Caller::Worker(worker)));
         }
         for (at, fault) in self.plan.faults.clone() {
             self.after(at, Event::Fault(fault));
         }
     }
 
-    /// Plays to the end and looks at what is left.
+    /// Runs to the end of the plan and checks the final state.
     pub fn run(&mut self) {
         let ends_at = self.now + self.plan.ends_at;
         self.run_until(ends_at);
         self.checkers.end();
     }
 
-    /// Plays for a time in milliseconds.
+    /// Runs for a number of milliseconds.
     pub fn run_for(&mut self, time: u64) {
         self.run_until(self.now + time);
     }
 
-    /// Plays until a time.
+    /// Runs until a point in virtual time.
     pub fn run_until(&mut self, until: u64) {
         while let Some(((at, number), event)) = self.queue.pop_first() {
             if at > until {
@@ -213,7 +212,7 @@
             }
             self.now = at;
             self.event(event);
-            if self.checkers.broken() {
+            if self.checkers.has_violations() {
                 return;
             }
         }
@@ -225,7 +224,7 @@
         self.queue.insert((self.now + delay, self.next_event), event);
     }
 
-    /// Delay of a message, in milliseconds.
+    /// Random delay of a message, in milliseconds.
     pub fn delay(&mut self) -> u64 {
         match self.random.u32(0..40) {
             0 => self.random.u64(20..=60),
@@ -239,29 +238,31 @@
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Tick(core, life) => self.tick_core(core, life),
-            Event::EdgeTick(edge, life) => self.tick_edge(edge, life),
-            Event::Act(Caller::Operator(operator)) => self.operator_acts(operator),
-            Event::Act(Caller::Worker(worker)) => self.worker_acts(worker),
+            Event::Tick(core, incarnation) => self.tick_core(core, incarnation),
+            Event::EdgeTick(edge, incarnation) => self.tick_edge(edge, incarnation),
+            Event::Step(Caller::Operator(operator)) => self.step_operator(operator),
+            Event::Step(Caller::Worker(worker)) => self.step_worker(worker),
             Event::Fault(fault) => self.fault(&fault),
             Event::Peer { from, to, frame } => {
-                // What was on its way when a cut begins arrives.
+                // Messages already in flight when a partition begins are still delivered.
                 let _ = from;
                 self.core_input(to, Input::Peer(frame));
             }
-            Event::Persisted { core, life, token, record } => self.persisted(core, life, token, record),
+            Event::Persisted { core, incarnation, token, record } => {
+                self.persisted(core, incarnation, token, record)
+            }
             Event::Connected(connection) => self.connected(connection),
-            Event::ConnectFailed { edge, edge_life, link } => {
-                self.edge_input(edge, edge_life, RelayInput::LinkLost(link));
+            Event::ConnectFailed { edge, edge_incarnation, link } => {
+                self.edge_input(edge, edge_incarnation, RelayInput::LinkLost(link));
             }
-            Event::Hangup(connection) => self.hung_up(connection),
+            Event::Disconnected(connection) => self.disconnected(connection),
             Event::ToCore(connection, message) => {
                 let input = Input::Subscriber(connection.subscriber, message);
-                self.life_input(connection.core, connection.core_life, input);
+                self.incarnation_input(connection.core, connection.core_incarnation, input);
             }
             Event::ToEdge(connection, message) => {
                 let input = RelayInput::Link(connection.link, message);
-                self.edge_input(connection.edge, connection.edge_life, input);
+                self.edge_input(connection.edge, connection.edge_incarnation, input);
             }
             Event::Called { caller, number, core, call } => self.called(caller, number, core, call),
             Event::Answered { caller: Caller::Operator(operator), number, core, answer } => {
@@ -270,11 +271,13 @@
             Event::Answered { caller: Caller::Worker(worker), number, answer, .. } => {
                 self.worker_answered(worker, number, &answer);
             }
-            Event::Given { core, life, input } => self.life_input(core, life, input),
+            Event::WorkerAnswer { core, incarnation, input } => {
+                self.incarnation_input(core, incarnation, input)
+            }
         }
     }
 
-    /// Sends on a connection: in order, and held as long as its direction is cut.
+    /// Sends on a connection in order; messages are held back while their direction is partitioned.
     pub fn stream(&mut self, to_core: bool, connection: Connection, event: Event) {
         let (edge, core) = (self.edge_host(connection.edge), connection.core);
         let passes = if to_core { self.network.passes(edge, core) } else { self.network.passes(core, edge) };
@@ -289,11 +292,11 @@
         self.after(wait, event);
     }
 
-    /// Sends what was held on connections, after cuts have ended.
+    /// Sends the messages held back by partitions that have healed.
     pub fn release_held(&mut self) {
         for event in std::mem::take(&mut self.held) {
             match &event {
-                Event::ToCore(connection, _) | Event::Hangup(connection) => {
+                Event::ToCore(connection, _) | Event::Disconnected(connection) => {
                     let connection = *connection;
                     self.stream(true, connection, event);
                 }
@@ -306,7 +309,7 @@
         }
     }
 
-    /// Makes a call to a core machine; it may be lost.
+    /// Schedules a call to a core machine.
     pub fn call(&mut self, caller: Caller, number: u64, core: usize, call: Call) {
         let delay = self.delay();
         self.after(delay, Event::Called { caller, number, core, call });
@@ -314,26 +317,28 @@
 
     fn called(&mut self, caller: Caller, number: u64, core: usize, call: Call) {
         if self.cores[core].process.is_none() {
-            // No number of a core node: the call counts as failed.
+            // 599 is no status of a core node; it stands for a failed connection.
             let answer = Answer { status: 599, body: bytes::Bytes::new() };
             self.after(1, Event::Answered { caller, number, core, answer });
             return;
         }
         let id = CallId(self.next_call);
         self.next_call += 1;
-        let word = match &call {
-            Call::Read => Word::Read,
-            Call::Change(_) => Word::Change,
-            Call::Deregister { .. } => Word::End,
-            Call::Heartbeat { body, .. } if body.windows(8).any(|part| part == b"draining") => Word::End,
-            Call::Heartbeat { .. } => Word::Heartbeat,
+        let kind = match &call {
+            Call::Read => MessageKind::Read,
+            Call::Change(_) => MessageKind::Change,
+            Call::Deregister { .. } => MessageKind::End,
+            Call::Heartbeat { body, .. } if body.windows(8).any(|part| part == b"draining") => {
+                MessageKind::End
+            }
+            Call::Heartbeat { .. } => MessageKind::Heartbeat,
         };
         let arrived = self.now;
-        self.calls.insert(id, OpenCall { caller, number, word, arrived });
+        self.calls.insert(id, OpenCall { caller, number, kind, arrived });
         self.core_input(core, Input::Call(id, call));
     }
 
-    /// Gives a call of a script to a core node at once and returns its number; see [`World::answers`].
+    /// Delivers a call to a core node at once and returns its id; the answer appears in [`World::answers`].
     pub fn script_call(&mut self, core: usize, call: Call) -> CallId {
         let id = CallId(self.next_call);
         self.next_call += 1;
@@ -341,16 +346,16 @@
         id
     }
 
-    /// An answer of a core node leaves it.
+    /// Checks an answer that a core node sends and delivers it unless it is lost.
     pub fn answered(&mut self, core: usize, id: CallId, answer: Answer) {
         self.answers.insert(id, answer.clone());
         let Some(call) = self.calls.remove(&id) else { return };
-        if answer.status == 200 && call.word == Word::Change {
+        if answer.status == 200 && call.kind == MessageKind::Change {
             self.checkers.change_answered(self.now, call.arrived);
         }
         if answer.status < 500 {
-            let word = if answer.status >= 400 { Word::Refusal } else { call.word };
-            self.checkers.word(self.now, core, word);
+            let kind = if answer.status >= 400 { MessageKind::Refusal } else { call.kind };
+            self.checkers.check_message(self.now, core, kind);
         }
         let is_lost = self.random.u32(0..8) == 0;
         if !is_lost {
@@ -359,8 +364,8 @@
         }
     }
 
-    /// Does what a core node wants done.
-    pub fn carry_out(&mut self, core: usize, outputs: Vec<Output>) {
+    /// Executes the outputs of a core node.
+    pub fn execute_outputs(&mut self, core: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Peers(addresses, frame) => {
@@ -373,8 +378,8 @@
                 Output::Answer(id, answer) => self.answered(core, id, answer),
                 Output::Persist(token, record) => self.persist(core, token, record),
                 Output::RewriteLog(records) => self.cores[core].disk = records,
-                Output::Order(call) => self.worker_ordered(core, call),
-                Output::RequestReport(call) => self.report_asked(core, call),
+                Output::Order(call) => self.execute_order(core, call),
+                Output::RequestReport(call) => self.send_report(core, call),
             }
         }
     }
--- a/crates/control/tests/simulation/operator.rs
+++ b/crates/control/tests/simulation/operator.rs
@@ -1,39 +1,39 @@
-//! Operators: changes, reads, orders sent again, as the protocol page says.
+//! Simulated operators, which read, send orders and resend them as the protocol documentation prescribes.
 
 use super::{Caller, Event, World};
 use bytes::Bytes;
 use switchhill_configuration::{Order, OrderKind};
 use switchhill_control::{Answer, Call};
 
-const ANSWER_WITHIN: u64 = 1_000;
-const PAUSE: u64 = 100;
-const LONGEST_PAUSE: u64 = 800;
-const GIVE_UP_AFTER: u64 = 15_000;
+const ANSWER_TIMEOUT_MS: u64 = 1_000;
+const RETRY_DELAY_MS: u64 = 100;
+const MAX_RETRY_DELAY_MS: u64 = 800;
+const TASK_TIMEOUT_MS: u64 = 15_000;
 
-/// Statuses that end an operator's call at once.
+/// Statuses that end an operator's task without a retry.
 const REFUSALS: [u16; 5] = [400, 409, 412, 413, 422];
 
-/// What an operator is about.
+/// Task of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Task {
     Read,
-    Send { order: usize, again: bool },
+    Send { order: usize, is_resend: bool },
 }
 
 #[derive(Debug)]
 struct Ongoing {
     task: Task,
     began: u64,
-    tries: u64,
-    next_try: u64,
+    attempts: u64,
+    next_attempt: u64,
     call: Option<(u64, u64)>,
 }
 
-/// One operator; it has one call under way at a time.
+/// An operator, with at most one call in progress.
 #[derive(Debug)]
 pub struct Operator {
     index: usize,
-    /// The newest version that it knows.
+    /// Newest configuration version known to the operator.
     known: Option<u64>,
     ongoing: Option<Ongoing>,
     next_number: u64,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The body of the first configuration: an engine whose models don't fit all at once.
+/// Body of the first configuration. Its engine cannot hold all models at once.
 fn first_body(number: usize, revision: u64) -> String {
     let models: Vec<String> = (0..4)
         .map(|model| {
@@ -68,7 +68,7 @@
     )
 }
 
-/// An order that leaves a route named after its number.
+/// An order that adds a route named after its number.
 pub fn order(number: usize, base: u64, revision: u64, is_valid: bool) -> Order {
     if base == 0 {
         let body = Bytes::from(first_body(number, revision));
@@ -80,36 +80,36 @@
 }
 
 impl World {
-    pub fn operator_acts(&mut self, operator: usize) {
-        self.after(40, Event::Act(Caller::Operator(operator)));
+    pub fn step_operator(&mut self, operator: usize) {
+        self.after(40, Event::Step(Caller::Operator(operator)));
         let now = self.now;
         let state = &mut self.operators[operator];
         let Some(ongoing) = &mut state.ongoing else {
             let pause = self.random.u64(0..=250);
             let task = self.next_task(operator);
             self.operators[operator].ongoing =
-                Some(Ongoing { task, began: now, tries: 0, next_try: now + pause, call: None });
+                Some(Ongoing { task, began: now, attempts: 0, next_attempt: now + pause, call: None });
             return;
         };
         if ongoing.call.is_some_and(|(_, deadline)| now >= deadline) {
             ongoing.call = None;
         }
-        if ongoing.call.is_some() || now < ongoing.next_try {
+        if ongoing.call.is_some() || now < ongoing.next_attempt {
             return;
         }
-        if now >= ongoing.began + GIVE_UP_AFTER {
+        if now >= ongoing.began + TASK_TIMEOUT_MS {
             state.ongoing = None;
             state.known = None;
             return;
         }
-        ongoing.tries += 1;
-        if ongoing.tries == 1 {
+        ongoing.attempts += 1;
+        if ongoing.attempts == 1 {
             ongoing.began = now;
         }
-        ongoing.next_try = now + (PAUSE * ongoing.tries).min(LONGEST_PAUSE);
+        ongoing.next_attempt = now + (RETRY_DELAY_MS * ongoing.attempts).min(MAX_RETRY_DELAY_MS);
         state.next_number += 1;
         let number = state.next_number;
-        ongoing.call = Some((number, now + ANSWER_WITHIN));
+        ongoing.call = Some((number, now + ANSWER_TIMEOUT_MS));
         let task = ongoing.task;
         let call = match task {
             Task::Read => Call::Read,
@@ -122,35 +122,35 @@
         self.call(Caller::Operator(operator), number, core, call);
     }
 
-    /// A core machine for a call; some calls are lured to cut-off ones.
+    /// Chooses the core machine for a call, with a bias towards isolated ones.
     pub fn choose_core(&mut self) -> usize {
-        let cut_off = self.cut_off();
-        if !cut_off.is_empty() && self.random.u32(0..100) < self.plan.lured {
-            return cut_off[self.random.usize(0..cut_off.len())];
+        let isolated_cores = self.isolated_cores();
+        if !isolated_cores.is_empty() && self.random.u32(0..100) < self.plan.isolated_target_percent {
+            return isolated_cores[self.random.usize(0..isolated_cores.len())];
         }
         self.random.usize(0..self.plan.cores)
     }
 
     fn next_task(&mut self, operator: usize) -> Task {
-        let is_calm = self.now >= 1_000_000 + self.plan.ends_at - super::CALM_END / 2;
+        let is_fault_free = self.now >= 1_000_000 + self.plan.ends_at - super::FAULT_FREE_END_MS / 2;
         let Some(base) = self.operators[operator].known else {
             let is_first = self.checkers.orders.len() < self.plan.operators.min(2);
             let order = if is_first { Some(self.new_order(0, 3)) } else { None };
-            return order.map_or(Task::Read, |order| Task::Send { order, again: false });
+            return order.map_or(Task::Read, |order| Task::Send { order, is_resend: false });
         };
         let sent = self.checkers.orders.len();
         match self.random.u32(0..100) {
-            _ if is_calm => Task::Read,
+            _ if is_fault_free => Task::Read,
             0..=54 => {
                 let step = self.random.u64(2..=3);
                 let order = self.new_order(base, base + step);
-                Task::Send { order, again: false }
+                Task::Send { order, is_resend: false }
             }
             55..=79 => {
                 let order = self.random.usize(0..sent);
                 match self.checkers.orders[order].refused {
                     true => Task::Read,
-                    false => Task::Send { order, again: true },
+                    false => Task::Send { order, is_resend: true },
                 }
             }
             _ => Task::Read,
@@ -172,14 +172,14 @@
             return;
         }
         ongoing.call = None;
-        let (task, began, tries) = (ongoing.task, ongoing.began, ongoing.tries);
+        let (task, began, attempts) = (ongoing.task, ongoing.began, ongoing.attempts);
         match (task, answer.status) {
             (Task::Read, 200) => {
                 state.known = self.checkers.read(now, began, core, &answer.body);
                 state.ongoing = None;
             }
-            (Task::Send { order, again }, 200) => {
-                let revision = self.checkers.acknowledged(now, order, began, again, core, &answer.body);
+            (Task::Send { order, is_resend }, 200) => {
+                let revision = self.checkers.acknowledged(now, order, began, is_resend, core, &answer.body);
                 state.known = state.known.max(Some(revision));
                 state.ongoing = None;
             }
@@ -192,7 +192,7 @@
                 self.checkers.fail(now, format!("{task:?} was answered {status} by core {core}"));
             }
             _ => {
-                ongoing.next_try = now + (PAUSE * tries).min(LONGEST_PAUSE);
+                ongoing.next_attempt = now + (RETRY_DELAY_MS * attempts).min(MAX_RETRY_DELAY_MS);
             }
         }
     }
--- a/crates/control/tests/simulation/worker.rs
+++ b/crates/control/tests/simulation/worker.rs
@@ -1,35 +1,35 @@
-//! Workers: heartbeats, planned ends, and orders of the placer.
+//! Simulated workers: heartbeats, planned shutdowns, and orders of the placer.
 
-use super::checkers::Word;
+use super::checkers::MessageKind;
 use super::{Caller, Event, World};
 use bytes::Bytes;
 use switchhill_control::{Answer, Call, Input, OrderCall, ReportCall, WorkerReport};
 use switchhill_placement::{Operation, OrderAnswer, Resident};
 
-const BEAT_EVERY: u64 = 500;
-const ANSWER_WITHIN: u64 = 1_000;
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
+const ANSWER_TIMEOUT_MS: u64 = 1_000;
 
-/// Longest time in milliseconds until a worker's answer to an order, or its report, is there.
-const SLOWEST_ANSWER: u64 = 700;
+/// Longest delay of a worker's answer to an order, or of its report.
+const MAX_ANSWER_DELAY_MS: u64 = 700;
 
-/// What a worker says of itself.
+/// Lifecycle state that a worker reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Says {
+enum Lifecycle {
     Ready,
     Draining,
-    Gone,
+    Deregistering,
 }
 
-/// A place at which one worker after the other runs.
+/// A worker slot: when one worker has deregistered, the next incarnation starts in it.
 #[derive(Debug)]
 pub struct Worker {
     index: usize,
     incarnation: u64,
     sequence: u64,
-    says: Says,
+    lifecycle: Lifecycle,
     call: Option<(u64, u64)>,
     next_number: u64,
-    next_beat: u64,
+    next_heartbeat: u64,
     orders: u64,
     models: Vec<String>,
     highest_epoch: u64,
@@ -41,10 +41,10 @@
             index,
             incarnation: 0,
             sequence: 0,
-            says: Says::Ready,
+            lifecycle: Lifecycle::Ready,
             call: None,
             next_number: 0,
-            next_beat: 0,
+            next_heartbeat: 0,
             orders: 0,
             models: vec![format!("m{}", index % 4)],
             highest_epoch: 0,
@@ -56,7 +56,7 @@
     }
 
     fn body(&self) -> Bytes {
-        let state = if self.says == Says::Ready { "ready" } else { "draining" };
+        let state = if self.lifecycle == Lifecycle::Ready { "ready" } else { "draining" };
         let models: Vec<String> = self
             .models
             .iter()
@@ -70,11 +70,11 @@
         ))
     }
 
-    /// The next one at this place.
+    /// Starts the next incarnation in this slot.
     fn restart(&mut self) {
         self.incarnation += 1;
         self.sequence = 0;
-        self.says = Says::Ready;
+        self.lifecycle = Lifecycle::Ready;
         self.orders = 0;
         self.highest_epoch = 0;
         self.models = vec![format!("m{}", self.index % 4)];
@@ -82,26 +82,26 @@
 }
 
 impl World {
-    pub fn worker_acts(&mut self, worker: usize) {
-        self.after(100, Event::Act(Caller::Worker(worker)));
+    pub fn step_worker(&mut self, worker: usize) {
+        self.after(100, Event::Step(Caller::Worker(worker)));
         let now = self.now;
-        if self.workers[worker].says == Says::Ready && self.random.u32(0..70) == 0 {
-            self.workers[worker].says = Says::Draining;
+        if self.workers[worker].lifecycle == Lifecycle::Ready && self.random.u32(0..70) == 0 {
+            self.workers[worker].lifecycle = Lifecycle::Draining;
         }
         let state = &mut self.workers[worker];
         if state.call.is_some_and(|(_, deadline)| now >= deadline) {
             state.call = None;
         }
-        if state.call.is_some() || now < state.next_beat {
+        if state.call.is_some() || now < state.next_heartbeat {
             return;
         }
         state.sequence += 1;
         state.next_number += 1;
-        state.call = Some((state.next_number, now + ANSWER_WITHIN));
+        state.call = Some((state.next_number, now + ANSWER_TIMEOUT_MS));
         let (id, number, body) = (state.id(), state.next_number, state.body());
-        let call = match state.says {
-            Says::Gone => Call::Deregister { id },
-            Says::Ready | Says::Draining => Call::Heartbeat { id, body },
+        let call = match state.lifecycle {
+            Lifecycle::Deregistering => Call::Deregister { id },
+            Lifecycle::Ready | Lifecycle::Draining => Call::Heartbeat { id, body },
         };
         let core = self.choose_core();
         self.call(Caller::Worker(worker), number, core, call);
@@ -117,18 +117,18 @@
         if answer.status != 200 {
             return;
         }
-        match state.says {
-            Says::Ready => state.next_beat = now + BEAT_EVERY,
-            Says::Draining => state.says = Says::Gone,
-            Says::Gone => state.restart(),
+        match state.lifecycle {
+            Lifecycle::Ready => state.next_heartbeat = now + HEARTBEAT_INTERVAL_MS,
+            Lifecycle::Draining => state.lifecycle = Lifecycle::Deregistering,
+            Lifecycle::Deregistering => state.restart(),
         }
     }
 
-    /// An order reaches its worker and is carried out at once.
-    pub fn worker_ordered(&mut self, core: usize, call: OrderCall) {
-        self.checkers.word(self.now, core, Word::Order);
+    /// Delivers an order to its worker, which executes it at once.
+    pub fn execute_order(&mut self, core: usize, call: OrderCall) {
+        self.checkers.check_message(self.now, core, MessageKind::Order);
         let Some(worker) = self.workers.iter_mut().find(|worker| worker.id() == call.worker) else {
-            return self.give(core, Input::OrderAnswered(call.ticket, OrderAnswer::WrongInstance));
+            return self.answer_core(core, Input::OrderAnswered(call.ticket, OrderAnswer::WrongInstance));
         };
         if call.ticket.epoch < worker.highest_epoch {
             let newest = worker.highest_epoch;
@@ -138,17 +138,17 @@
         }
         worker.highest_epoch = call.ticket.epoch;
         if call.if_revision.is_some_and(|sequence| sequence != worker.orders) {
-            return self.give(core, Input::OrderAnswered(call.ticket, OrderAnswer::Busy));
+            return self.answer_core(core, Input::OrderAnswered(call.ticket, OrderAnswer::Busy));
         }
         worker.orders += 1;
         match call.operation {
             Operation::Load => worker.models.push(call.model),
             Operation::Unload => worker.models.retain(|model| *model != call.model),
         }
-        self.give(core, Input::OrderAnswered(call.ticket, OrderAnswer::Accepted));
+        self.answer_core(core, Input::OrderAnswered(call.ticket, OrderAnswer::Accepted));
     }
 
-    pub fn report_asked(&mut self, core: usize, call: ReportCall) {
+    pub fn send_report(&mut self, core: usize, call: ReportCall) {
         let Some(worker) = self.workers.iter().find(|worker| worker.id() == call.worker) else { return };
         let models =
             worker.models.iter().map(|name| Resident { name: name.clone(), adapters: Vec::new() }).collect();
@@ -162,13 +162,13 @@
             kv_used: 0,
             kv_total: 1_000,
         };
-        self.give(core, Input::Reported(report));
+        self.answer_core(core, Input::Reported(report));
     }
 
-    /// What a worker answers reaches the node that asked; workers are cut from no one.
-    fn give(&mut self, core: usize, input: Input) {
-        let delay = self.random.u64(2..=SLOWEST_ANSWER);
-        let life = self.cores[core].life;
-        self.after(delay, Event::Given { core, life, input });
+    /// Delivers a worker's answer to the requesting node; partitions do not affect workers.
+    fn answer_core(&mut self, core: usize, input: Input) {
+        let delay = self.random.u64(2..=MAX_ANSWER_DELAY_MS);
+        let incarnation = self.cores[core].incarnation;
+        self.after(delay, Event::WorkerAnswer { core, incarnation, input });
     }
 }
