--- a/crates/control/tests/catch_up.rs
+++ b/crates/control/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! Catching up after many changes.
+//! Time and resources needed to catch up after many configuration changes.
 
 #[path = "catch_up/mod.rs"]
 mod catch_up;
@@ -6,13 +6,13 @@
 use catch_up::{run, run_absence, Absence, Cut, DiskTrouble, Outcome, Trial};
 use googletest::prelude::*;
 
-/// Routes of the configuration; with 400 of them see the example `catch_up_table`.
+/// Routes of the configuration; the example `catch_up_table` uses 400.
 const ROUTES: u64 = 40;
 
-/// Bytes of a file above which it is rewritten.
+/// File size in bytes above which the log is rewritten.
 const REWRITE_ABOVE: usize = 8 << 20;
 
-/// Time in milliseconds by which a moment of a change in progress may shift an outcome.
+/// Variation in milliseconds caused by where a concurrent change falls.
 const JITTER_MS: u64 = 600;
 
 fn outcome(changes: u64, disk: DiskTrouble) -> Outcome {
@@ -43,45 +43,45 @@
             expect_that!(
                 outcome.away_ms.max(outcome.empty_ms),
                 lt(1_000),
-                "{disk:?}: a disk holds up no read"
+                "{disk:?}: a slow disk must not delay reads"
             );
             expect_that!(outcome.agent_ms.max(outcome.data_plane_ms), lt(500), "{disk:?}");
-            expect_that!(outcome.most_waiting, lt(2 * value), "{disk:?}: bytes that wait for a disk");
+            expect_that!(outcome.most_waiting, lt(2 * value), "{disk:?}: bytes queued for a disk");
             expect_that!(outcome.longest_file, lt(REWRITE_ABOVE + 8 * value), "{disk:?}");
         }
     }
 }
 
 #[gtest]
-fn a_member_that_comes_back_claims_nothing_before_it_knows_what_a_majority_holds() {
+fn a_returning_member_claims_nothing_before_it_knows_the_majority_state() {
     let absences = [
         Absence::Cut(Cut::Both),
         Absence::Cut(Cut::Deaf),
-        Absence::Cut(Cut::Dumb),
+        Absence::Cut(Cut::Mute),
         Absence::Frozen,
         Absence::Restarted,
     ];
     for absence in absences {
-        // Every phase of heartbeats and repairs, beyond the age up to which a contact counts.
+        // Covers every phase of heartbeats and repairs, past the maximum age of a contact that counts.
         for for_ms in (1_000..2_200).step_by(60).chain([5_000]) {
-            claims_nothing_early(absence, for_ms);
+            expect_no_early_claims(absence, for_ms);
         }
     }
 }
 
-/// The read that brings a node up to date is under way when the node is frozen or receives nothing; its answers may be
-/// older than the contact that the node has afterwards.
+/// Guards against stale read answers: the catch-up read is in flight when the node is frozen or stops receiving, so its
+/// answers may be older than the contacts that follow.
 #[gtest]
-fn a_member_interrupted_while_it_catches_up_claims_nothing_before_it_knows_what_a_majority_holds() {
+fn a_member_interrupted_during_catch_up_claims_nothing_before_it_knows_the_majority_state() {
     for after_ms in (10..210).step_by(5) {
-        claims_nothing_early(Absence::FrozenAfterStart(after_ms), 3_000);
-        claims_nothing_early(Absence::CutAfterStart(Cut::Deaf, after_ms), 2_000 + 3 * after_ms);
+        expect_no_early_claims(Absence::FrozenAfterStart(after_ms), 3_000);
+        expect_no_early_claims(Absence::CutAfterStart(Cut::Deaf, after_ms), 2_000 + 3 * after_ms);
     }
 }
 
-fn claims_nothing_early(absence: Absence, for_ms: u64) {
-    let (violations, knew_ms) = run_absence(absence, for_ms, 100);
+fn expect_no_early_claims(absence: Absence, for_ms: u64) {
+    let (violations, caught_up_ms) = run_absence(absence, for_ms, 100);
     let first = violations.first();
-    expect_that!(first, none(), "{absence:?} for {for_ms} ms, {} in all", violations.len());
-    expect_that!(knew_ms, lt(1_000), "{absence:?} for {for_ms} ms");
+    expect_that!(first, none(), "{absence:?} for {for_ms} ms, {} violations in total", violations.len());
+    expect_that!(caught_up_ms, lt(1_000), "{absence:?} for {for_ms} ms");
 }
--- a/crates/control/tests/catch_up/documents.rs
+++ b/crates/control/tests/catch_up/documents.rs
@@ -1,8 +1,8 @@
-//! Configurations and orders.
+//! Builds the configurations and orders that the operator sends.
 
 use switchhill_configuration::{Order, OrderKind};
 
-/// The first order: the whole configuration.
+/// Builds the first order, which replaces the whole configuration.
 pub fn first(routes: u64) -> Order {
     let routes: Vec<String> = (0..routes).map(|number| route(number, 0)).collect();
     let routes = routes.join(",");
@@ -13,7 +13,7 @@
     Order { kind: OrderKind::Replace, base_version: 0, body: body.into_bytes().into() }
 }
 
-/// The order that leads from a revision to the next one.
+/// Builds the update order from revision `base` to the next one.
 pub fn change(routes: u64, base: u64) -> Order {
     let revision = base + 1;
     let route = route(base % routes, revision);
--- a/crates/control/tests/catch_up/files.rs
+++ b/crates/control/tests/catch_up/files.rs
@@ -1,4 +1,4 @@
-//! Files in memory, and the disk thread that writes them in virtual time.
+//! In-memory files and a disk writer thread simulated in virtual time.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{ErrorKind, Result};
@@ -9,26 +9,26 @@
 use switchhill_record_log::{FileSystem, LogFile, Options};
 use switchhill_replica_file::{open, Identity, OpenedReplica, WriteRequest, Writer, WriterEvent};
 
-/// Length in bytes above which a file is rewritten, as in the program.
+/// File size in bytes above which the log is rewritten; the same value as in the program.
 const REWRITE_ABOVE: u64 = 8 << 20;
 
-/// Time in microseconds of a sync on a disk without trouble.
+/// Duration in microseconds of a sync on a healthy disk.
 const SYNC_US: u64 = 5_000;
 
-/// Bytes that a disk writes in a microsecond.
+/// Write throughput of a disk in bytes per microsecond.
 const BYTES_PER_US: u64 = 100;
 
 type Content = Arc<Mutex<Vec<u8>>>;
 
-/// A disk whose files outlast the process.
+/// A file system whose files survive a process restart.
 #[derive(Clone, Default)]
 pub struct MemoryFileSystem(Arc<Mutex<BTreeMap<PathBuf, Content>>>);
 
-/// An open file.
+/// An open in-memory file.
 pub struct MemoryFile(Content);
 
 impl MemoryFileSystem {
-    /// Bytes of all files.
+    /// Total size of all files in bytes.
     pub fn used(&self) -> usize {
         self.0.lock().unwrap().values().map(|content| content.lock().unwrap().len()).sum()
     }
@@ -90,18 +90,18 @@
     }
 }
 
-/// How a disk behaves.
+/// Performance of a simulated disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskTrouble {
     /// A sync takes five milliseconds.
     None,
-    /// Everything takes so many times as long.
+    /// Every operation takes this many times as long.
     Slow(u64),
-    /// Nothing ends within this time in milliseconds from the start of the process on.
+    /// No operation completes until this many milliseconds after the process start.
     Stalled(u64),
 }
 
-/// The disk of a core machine with the thread that writes to it.
+/// The disk of a core machine and its writer thread.
 pub struct Disk {
     files: MemoryFileSystem,
     writer: Option<Writer<MemoryFileSystem>>,
@@ -109,9 +109,9 @@
     writing: bool,
     trouble: DiskTrouble,
     started_us: u64,
-    /// Most bytes that have waited at once.
+    /// Maximum number of bytes queued at one time.
     pub most_waiting: usize,
-    /// Most bytes that the files have had at once.
+    /// Maximum total file size in bytes.
     pub most_used: usize,
 }
 
@@ -129,7 +129,7 @@
         }
     }
 
-    /// A process starts: its identity and the records that it finds.
+    /// Opens the replica file for a new process; returns the stored identity and records.
     pub fn start(&mut self, now_us: u64, trouble: DiskTrouble, fresh: Identity) -> (Identity, Vec<Vec<u8>>) {
         let options = Options { rewrite_above_bytes: REWRITE_ABOVE };
         let stored = open(self.files.clone(), Path::new("/data"), options, || fresh);
@@ -142,30 +142,31 @@
         (identity, records)
     }
 
-    pub fn add(&mut self, work: WriteRequest) {
-        self.waiting.push_back(work);
-        let waiting = self.waiting.iter().map(bytes).sum();
+    pub fn add(&mut self, request: WriteRequest) {
+        self.waiting.push_back(request);
+        let waiting = self.waiting.iter().map(request_bytes).sum();
         self.most_waiting = self.most_waiting.max(waiting);
     }
 
-    /// Begins to write what waits, unless a sync is under way: when it ends, and what is told then.
+    /// Starts writing the queued requests unless a sync is in progress. Returns the completion time and the inputs that are
+    /// delivered to the node at that time.
     pub fn begin(&mut self, now_us: u64) -> Option<(u64, Vec<Input>)> {
         if self.writing || self.waiting.is_empty() {
             return None;
         }
         let batch: Vec<WriteRequest> = self.waiting.drain(..).collect();
-        let written: usize = batch.iter().map(bytes).sum();
-        let mut told = Vec::new();
-        self.writer.as_mut()?.process_batch(batch, &mut |report| told.extend(input(report)));
+        let written: usize = batch.iter().map(request_bytes).sum();
+        let mut inputs = Vec::new();
+        self.writer.as_mut()?.process_batch(batch, &mut |event| inputs.extend(node_input(event)));
         self.writing = true;
         self.most_used = self.most_used.max(self.files.used());
-        let takes = SYNC_US + written as u64 / BYTES_PER_US;
-        let ends = match self.trouble {
-            DiskTrouble::None => now_us + takes,
-            DiskTrouble::Slow(times) => now_us + takes * times,
-            DiskTrouble::Stalled(for_ms) => now_us.max(self.started_us + for_ms * 1_000) + takes,
+        let duration = SYNC_US + written as u64 / BYTES_PER_US;
+        let ends_at = match self.trouble {
+            DiskTrouble::None => now_us + duration,
+            DiskTrouble::Slow(times) => now_us + duration * times,
+            DiskTrouble::Stalled(for_ms) => now_us.max(self.started_us + for_ms * 1_000) + duration,
         };
-        Some((ends, told))
+        Some((ends_at, inputs))
     }
 
     pub fn ended(&mut self) {
@@ -173,15 +174,15 @@
     }
 }
 
-fn bytes(work: &WriteRequest) -> usize {
-    match work {
+fn request_bytes(request: &WriteRequest) -> usize {
+    match request {
         WriteRequest::Append(_, record) => record.len(),
         WriteRequest::Rewrite(records) => records.iter().map(Vec::len).sum(),
     }
 }
 
-fn input(report: WriterEvent) -> Option<Input> {
-    match report {
+fn node_input(event: WriterEvent) -> Option<Input> {
+    match event {
         WriterEvent::Persisted(token) => Some(Input::Persisted(token)),
         WriterEvent::AppendFailed(token, _) => Some(Input::PersistFailed(token)),
         WriterEvent::RewriteNeeded => Some(Input::LogCompactionDue),
--- a/crates/control/tests/catch_up/mod.rs
+++ b/crates/control/tests/catch_up/mod.rs
@@ -1,7 +1,7 @@
-//! Core nodes, an agent and a data plane in virtual time, with modelled disks, links and processors.
+//! Simulates core nodes, an agent and a data plane in virtual time, with modelled disks, links and processors.
 //!
-//! The state machines are the program's; what is modelled is said at each constant. Time counts in microseconds.
-#![allow(dead_code, reason = "each user of this module needs a part of it")]
+//! The state machines are those of the program; the constants describe the model. Times are in microseconds.
+#![allow(dead_code, reason = "each user of this module needs only a part of it")]
 
 mod documents;
 mod files;
@@ -30,105 +30,106 @@
 /// Time in microseconds between two ticks of an agent.
 const AGENT_TICK_US: u64 = 50_000;
 
-/// Delay in microseconds of a link.
+/// Latency of a link in microseconds.
 const DELAY_US: u64 = 2_000;
 
-/// Bits that a machine's link carries in a microsecond: 100 Mbps.
+/// Bandwidth of a machine's link in bits per microsecond: 100 Mbps.
 const LINK_BITS_PER_US: u64 = 100;
 
-/// Share of a core that a core machine has, in hundredths.
-const PROCESSOR_SHARE: u64 = 15;
+/// Percentage of one processor core available to a core machine.
+const PROCESSOR_PERCENT: u64 = 15;
 
-/// Processor time in nanoseconds of an input, and of each kilobyte in or out, on a whole core.
+/// Processor time in nanoseconds per input, and per kilobyte in or out, on a full processor core.
 const INPUT_NS: u64 = 30_000;
 const KILOBYTE_NS: u64 = 500;
 
-/// Processor time in nanoseconds for each route of a newly committed configuration, on a whole core: it is read twice and
-/// a change is made from it (`cargo run --release -p switchhill-control --example state_cost`).
+/// Processor time in nanoseconds per route of a newly committed configuration, on a full processor core. Covers parsing it
+/// twice and deriving a change from it (`cargo run --release -p switchhill-control --example state_cost`).
 const COMMITTED_ROUTE_NS: u64 = 7_500;
 
-/// Core machines; the first three are the seeds, the fourth joins, the last one starts late with an empty disk.
+/// Number of core machines. The first three are the seeds, the fourth joins, and the last starts late with an empty disk.
 const CORES: usize = 5;
 const AWAY: usize = 3;
 const EMPTY: usize = 4;
 
 const CORE_MACHINES_LOST: usize = 1;
 
-/// Routes where only one member is looked at.
-const ROUTES_OF_ABSENCE: u64 = 10;
+/// Routes of the configuration in the runs that observe only one member.
+const ABSENCE_ROUTES: u64 = 10;
 
-/// Time in microseconds for which a connection keeps what a cut holds up, as in the program.
-const HELD_US: u64 = 1_500_000;
+/// Time in microseconds for which a connection keeps messages that a partition delays, as in the program.
+const RETAINED_US: u64 = 1_500_000;
 
-/// Time in milliseconds before the end of an absence from which on the member is asked for its status.
+/// Time in milliseconds before the end of an absence at which the member's status is first requested.
 const WATCHED_BEFORE_MS: u64 = 100;
 
-/// Time in microseconds after which the operator takes an order elsewhere.
-const ANSWER_WITHIN_US: u64 = 1_000_000;
+/// Time in microseconds after which the operator sends an order to another machine.
+const ORDER_TIMEOUT_US: u64 = 1_000_000;
 
-/// From this number on, subscribers are there to be told one status; time in microseconds between two of them.
+/// First id of the subscribers that only receive one status.
 const WATCHERS: u64 = 1 << 40;
+/// Time in microseconds between two such subscribers.
 const WATCH_US: u64 = 5_000;
 
-/// Directions that a cut closes.
+/// Direction of a network partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
     /// Both.
     Both,
-    /// What the others send doesn't arrive.
+    /// Messages to the machine don't arrive.
     Deaf,
-    /// What the machine sends doesn't arrive.
-    Dumb,
+    /// Messages from the machine don't arrive.
+    Mute,
 }
 
-/// What is tried.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Trial {
     /// Routes of the configuration.
     pub routes: u64,
-    /// Changes while the member is away.
+    /// Number of changes while the member is away.
     pub changes: u64,
-    /// Time in milliseconds between an answer and the next order while all catch up.
+    /// Time in milliseconds between an answer and the next order during catch-up.
     pub change_every_ms: u64,
-    /// Trouble of the disks of the member that returns and of the one that is new.
+    /// Disk performance of the returning member and of the new one.
     pub disk: DiskTrouble,
 }
 
-/// What came of it. Times are in milliseconds from the moment at which all start.
+/// Results of a run. Times are in milliseconds from the start of the late processes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// Bytes of the configuration as an agent is sent it.
+    /// Size in bytes of the configuration as sent to an agent.
     pub configuration_bytes: usize,
-    /// Until the member that was away answers a read with the newest configuration.
+    /// Time until the returning member answers a read with the newest configuration.
     pub away_ms: u64,
-    /// The same of the member with an empty disk.
+    /// The same for the member with an empty disk.
     pub empty_ms: u64,
-    /// Until the two are voters, their change of the electorate over.
+    /// Time until each of the two is a voter in a non-joint electorate.
     pub away_voter_ms: u64,
     pub empty_voter_ms: u64,
-    /// Until the agent holds the newest configuration, confirmed, and then the data plane.
+    /// Time until the agent, and then the data plane, holds the newest configuration and it is confirmed.
     pub agent_ms: u64,
     pub data_plane_ms: u64,
-    /// Bytes that the member that was away and the empty one were sent until they answered.
+    /// Bytes sent to the returning member and to the empty one until they answered.
     pub away_bytes: usize,
     pub empty_bytes: usize,
-    /// Longest file and most bytes waiting for a disk, of all core machines.
+    /// Maximum total file size and maximum bytes queued for a disk, over all core machines.
     pub longest_file: usize,
     pub most_waiting: usize,
-    /// Time in milliseconds of an order on the average, sent one after the other before, each 5 ms after the last answer.
+    /// Average time in milliseconds of an order before the late start, with orders sent 5 ms after the previous answer.
     pub order_ms: u64,
-    /// Changes acknowledged while all this went on.
+    /// Changes acknowledged during catch-up.
     pub changes_meanwhile: u64,
 }
 
 enum Event {
     CoreTick(usize, u32),
     Core(usize, u32, Box<Input>, usize),
-    DiskEnds(usize, u32, Vec<Input>),
+    WriteCompleted(usize, u32, Vec<Input>),
     AgentTick,
     Agent(Box<RelayInput>),
     DataPlane(Downstream),
-    OperatorGivesUp(u64),
+    OrderTimeout(u64),
     Operator,
     Poll,
     Watch(usize),
@@ -142,22 +143,22 @@
     link_free_at: u64,
     processor_free_at: u64,
     revision: u64,
-    /// Revision that had been acknowledged when this life began, or when the last cut ended.
+    /// Revision that was acknowledged when this incarnation started or when the last partition ended.
     must_know: u64,
-    /// When it first answered a read with the newest configuration, and first was a voter, in this life.
+    /// Time at which this incarnation first answered a read with the newest configuration, and first was a voter.
     answered_at: Option<u64>,
     voter_at: Option<u64>,
     received_bytes: usize,
 }
 
 impl Core {
-    /// Whether it doesn't know what was acknowledged before it started or came back, which a majority holds.
+    /// Whether the node lacks a revision that was acknowledged, and so stored by a majority, before it started or returned.
     fn is_behind(&self) -> bool {
         self.revision < self.must_know
     }
 }
 
-/// Everything.
+/// The simulated system.
 pub struct World {
     routes: u64,
     now: u64,
@@ -171,10 +172,10 @@
     agent_at: Option<u64>,
     data_plane_at: Option<u64>,
     started_late_at: u64,
-    /// Core machines that are cut off from the others, with the directions.
+    /// Core machines that are partitioned from the others, with the directions.
     cuts: Vec<(usize, Cut)>,
-    /// Messages that wait for the end of a cut, with the time at which they were sent.
-    held: Vec<(u64, usize, PeerFrame)>,
+    /// Messages delayed by a partition, with the send time and the receiver.
+    delayed: Vec<(u64, usize, PeerFrame)>,
     /// Revision of the last acknowledged order.
     pub acknowledged: u64,
     change_every: u64,
@@ -183,7 +184,7 @@
     next_call: u64,
     watchers: u64,
     reads: BTreeMap<u64, (usize, u64)>,
-    /// What was said or done that no node may say or do.
+    /// Forbidden statements and actions of nodes.
     pub violations: Vec<String>,
 }
 
@@ -196,7 +197,7 @@
 }
 
 impl World {
-    /// The seeds and the fourth machine, started on empty disks.
+    /// Starts the seeds and the fourth machine on empty disks.
     pub fn new(routes: u64) -> World {
         let core = |_| Core {
             node: None,
@@ -225,7 +226,7 @@
             data_plane_at: None,
             started_late_at: u64::MAX,
             cuts: Vec::new(),
-            held: Vec::new(),
+            delayed: Vec::new(),
             acknowledged: 0,
             change_every: 0,
             asked: 0,
@@ -245,7 +246,7 @@
         self.events.insert(self.next_event, event);
     }
 
-    /// A core machine's process starts.
+    /// Starts a core machine's process.
     pub fn start(&mut self, core: usize, trouble: DiskTrouble) {
         let is_seed = core < 3;
         let fresh = match is_seed {
@@ -278,14 +279,14 @@
         self.add(self.now, Event::CoreTick(core, life));
     }
 
-    /// A core machine's process ends; its disk stays.
+    /// Stops a core machine's process; its disk is kept.
     pub fn stop(&mut self, core: usize) {
         let machine = &mut self.cores[core];
         machine.node = None;
         machine.life += 1;
     }
 
-    /// Restarts a machine, a second after its end, and goes on for a time in milliseconds.
+    /// Stops the machine `AWAY`, restarts it after a second and runs for `after_ms`.
     fn restart_away(&mut self, after_ms: u64) {
         self.stop(AWAY);
         self.run_until(self.now_ms() + 1_000, |_| false);
@@ -293,17 +294,17 @@
         self.run_until(self.now_ms() + after_ms, |_| false);
     }
 
-    /// Cuts a core machine off from all others.
+    /// Partitions a core machine from all others.
     pub fn cut(&mut self, core: usize, cut: Cut) {
         self.cuts.push((core, cut));
     }
 
-    /// Ends all cuts of a machine.
+    /// Ends all partitions of a machine and delivers the delayed messages that its connections still keep.
     pub fn heal(&mut self, core: usize) {
         self.cuts.retain(|(other, _)| *other != core);
         self.cores[core].must_know = self.acknowledged;
-        for (sent_at, to, frame) in std::mem::take(&mut self.held) {
-            if self.now < sent_at + HELD_US && self.cores[to].node.is_some() {
+        for (sent_at, to, frame) in std::mem::take(&mut self.delayed) {
+            if self.now < sent_at + RETAINED_US && self.cores[to].node.is_some() {
                 let (life, bytes) = (self.cores[to].life, frame.encoded_len());
                 self.add(self.now + DELAY_US, Event::Core(to, life, Box::new(Input::Peer(frame)), bytes));
             }
@@ -312,12 +313,12 @@
 
     fn passes(&self, from: usize, to: usize) -> bool {
         let stopped = |(core, cut): &(usize, Cut)| {
-            (*core == from && *cut != Cut::Deaf) || (*core == to && *cut != Cut::Dumb)
+            (*core == from && *cut != Cut::Deaf) || (*core == to && *cut != Cut::Mute)
         };
         !self.cuts.iter().any(stopped)
     }
 
-    /// Runs until a moment, in milliseconds from the beginning, or until a condition holds. Returns whether it does.
+    /// Runs until `until_ms` or until the condition holds. Returns whether it holds.
     pub fn run_until(&mut self, until_ms: u64, done: impl Fn(&World) -> bool) -> bool {
         while !done(self) {
             let Some(Reverse((at, number))) = self.queue.pop() else { return done(self) };
@@ -334,23 +335,23 @@
         true
     }
 
-    /// Now, in milliseconds from the beginning.
+    /// Current virtual time in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.now / 1_000
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::CoreTick(core, life) if self.lives(core, life) => {
+            Event::CoreTick(core, life) if self.is_current(core, life) => {
                 self.add(self.now + CORE_TICK_US, Event::CoreTick(core, life));
                 self.core_input(core, life, Input::Tick, 0);
             }
-            Event::Core(core, life, input, bytes) if self.lives(core, life) => {
+            Event::Core(core, life, input, bytes) if self.is_current(core, life) => {
                 self.core_input(core, life, *input, bytes);
             }
-            Event::DiskEnds(core, life, told) if self.lives(core, life) => {
+            Event::WriteCompleted(core, life, inputs) if self.is_current(core, life) => {
                 self.cores[core].disk.ended();
-                told.into_iter().for_each(|input| self.core_input(core, life, input, 0));
+                inputs.into_iter().for_each(|input| self.core_input(core, life, input, 0));
                 self.write(core);
             }
             Event::AgentTick => {
@@ -359,19 +360,19 @@
             }
             Event::Agent(input) => self.agent_input(*input),
             Event::DataPlane(message) => self.data_plane_message(message),
-            Event::OperatorGivesUp(asked) if asked == self.asked => self.operator_asks(),
-            Event::Operator => self.operator_asks(),
+            Event::OrderTimeout(asked) if asked == self.asked => self.send_order(),
+            Event::Operator => self.send_order(),
             Event::Poll => self.poll(),
             Event::Watch(core) => self.watch(core),
             _ => {}
         }
     }
 
-    fn lives(&self, core: usize, life: u32) -> bool {
+    fn is_current(&self, core: usize, life: u32) -> bool {
         self.cores[core].life == life && self.cores[core].node.is_some()
     }
 
-    /// Hands an input to a core node once its processor is free.
+    /// Passes an input to a core node once its processor is free; ticks are skipped while it is busy.
     fn core_input(&mut self, core: usize, life: u32, input: Input, bytes: usize) {
         let machine = &mut self.cores[core];
         if machine.processor_free_at > self.now {
@@ -392,7 +393,7 @@
         if committed {
             ns += COMMITTED_ROUTE_NS * self.routes;
         }
-        machine.processor_free_at = self.now + ns * 100 / PROCESSOR_SHARE / 1_000;
+        machine.processor_free_at = self.now + ns * 100 / PROCESSOR_PERCENT / 1_000;
         if placer && machine.is_behind() {
             let error = format!("{} ms: core {core} is placer before it has caught up", self.now / 1_000);
             self.violations.push(error);
@@ -426,12 +427,12 @@
     fn write(&mut self, core: usize) {
         let machine = &mut self.cores[core];
         let life = machine.life;
-        if let Some((ends, told)) = machine.disk.begin(self.now) {
-            self.add(ends, Event::DiskEnds(core, life, told));
+        if let Some((ends_at, inputs)) = machine.disk.begin(self.now) {
+            self.add(ends_at, Event::WriteCompleted(core, life, inputs));
         }
     }
 
-    /// When the last of so many bytes sent now arrives.
+    /// Arrival time of the last of `bytes` bytes sent now.
     fn arrival(&mut self, core: usize, bytes: usize) -> u64 {
         let machine = &mut self.cores[core];
         machine.link_free_at = machine.link_free_at.max(self.now) + bytes as u64 * 8 / LINK_BITS_PER_US;
@@ -439,11 +440,11 @@
     }
 
     fn send_peer(&mut self, from: usize, to: &str, frame: PeerFrame) {
-        self.note_register_message(from, &frame);
+        self.check_register_message(from, &frame);
         let bytes = frame.encoded_len();
         let Some(to) = (0..CORES).find(|core| address(*core) == *to) else { return };
         if !self.passes(from, to) {
-            self.held.push((self.now, to, frame));
+            self.delayed.push((self.now, to, frame));
             return;
         }
         if self.cores[to].node.is_none() {
@@ -457,13 +458,16 @@
         self.add(at, Event::Core(to, life, Box::new(Input::Peer(frame)), bytes));
     }
 
-    fn note_register_message(&mut self, from: usize, frame: &PeerFrame) {
+    fn check_register_message(&mut self, from: usize, frame: &PeerFrame) {
         let Some(PeerBody::Register(envelope)) = &frame.body else { return };
         let Ok(Message { body: Body::Accept { value, .. }, .. }) = Message::decode(&envelope.message) else {
             return;
         };
         if value.electorate.is_joint() && self.cores[from].is_behind() {
-            let error = format!("{} ms: core {from} changes the electorate early", self.now / 1_000);
+            let error = format!(
+                "{} ms: core {from} changes the electorate before it has caught up",
+                self.now / 1_000
+            );
             self.violations.push(error);
         }
         for machine in self.cores.iter_mut().filter(|machine| machine.node.is_some()) {
@@ -475,7 +479,7 @@
 
     fn send_agent(&mut self, core: usize, id: SubscriberId, message: Downstream) {
         if let Some(DownstreamBody::Status(status)) = &message.body {
-            self.note_status(core, status);
+            self.check_status(core, status);
         }
         if id.0 >= WATCHERS {
             return;
@@ -485,17 +489,17 @@
         self.add(at, Event::Agent(Box::new(input)));
     }
 
-    fn note_status(&mut self, core: usize, status: &Status) {
+    fn check_status(&mut self, core: usize, status: &Status) {
         let known = self.cores[core].must_know;
         if status.quorum && status.revision < known {
-            let (at, said) = (self.now / 1_000, status.revision);
+            let (at, reported) = (self.now / 1_000, status.revision);
             self.violations.push(format!(
-                "{at} ms: core {core} says that {said} is the newest, {known} was acknowledged"
+                "{at} ms: core {core} reports {reported} as the newest revision, {known} was acknowledged"
             ));
         }
     }
 
-    /// Subscribes at a core machine, again and again, to hear its statuses.
+    /// Subscribes to a core machine repeatedly to receive its status.
     pub fn watch(&mut self, core: usize) {
         let hello = Hello { node: "watcher".into(), zone: "zone".into(), revision: u64::MAX, home: false };
         let message = Upstream { body: Some(UpstreamBody::Hello(hello)) };
@@ -552,8 +556,8 @@
         }
     }
 
-    /// The operator sends the next order, or the same again to another machine.
-    fn operator_asks(&mut self) {
+    /// Sends the operator's next order, or resends the pending one to another machine.
+    fn send_order(&mut self) {
         self.asked_core = (self.asked_core + 1) % 3;
         self.next_call += 1;
         self.asked = self.next_call;
@@ -565,7 +569,7 @@
         let (life, bytes) = (self.cores[core].life, order.body.len());
         let input = Input::Call(CallId(asked), Call::Change(order));
         self.add(self.now + DELAY_US, Event::Core(core, life, Box::new(input), bytes));
-        self.add(self.now + ANSWER_WITHIN_US, Event::OperatorGivesUp(asked));
+        self.add(self.now + ORDER_TIMEOUT_US, Event::OrderTimeout(asked));
     }
 
     fn answered(&mut self, core: usize, id: CallId, answer: &Answer) {
@@ -585,13 +589,14 @@
         let revision = revision_of(&answer.body);
         if asked != core || revision < acknowledged {
             let at = self.now / 1_000;
-            self.violations
-                .push(format!("{at} ms: core {core} answers {revision}, {acknowledged} was acknowledged"));
+            self.violations.push(format!(
+                "{at} ms: core {core} answers with revision {revision}, {acknowledged} was acknowledged"
+            ));
         }
         self.cores[core].answered_at.get_or_insert(self.now);
     }
 
-    /// Reads at the late core machines that haven't answered yet.
+    /// Sends a read to each late core machine that has not answered yet.
     fn poll(&mut self) {
         self.add(self.now + 20_000, Event::Poll);
         for core in [AWAY, EMPTY] {
@@ -607,7 +612,7 @@
         }
     }
 
-    /// The operator begins, with so much time in milliseconds between an answer and the next order.
+    /// Sets the time in milliseconds between an answer and the next order, and starts the operator if needed.
     pub fn change_every(&mut self, ms: u64) {
         self.change_every = ms * 1_000;
         if self.acknowledged == 0 {
@@ -615,7 +620,7 @@
         }
     }
 
-    /// All that is late starts now: the member that was away, an empty one, an agent and its data plane.
+    /// Starts the late processes: the returning member, an empty one, an agent and its data plane.
     pub fn start_late(&mut self, disk: DiskTrouble) {
         self.started_late_at = self.now;
         self.start(AWAY, disk);
@@ -628,7 +633,7 @@
         self.add(self.now, Event::Poll);
     }
 
-    /// Whether all that started late has caught up.
+    /// Whether all late processes have caught up.
     pub fn all_caught_up(&self) -> bool {
         let core =
             |core: usize| self.cores[core].answered_at.is_some() && self.cores[core].voter_at.is_some();
@@ -640,10 +645,10 @@
     }
 }
 
-/// Runs a trial; `Err` tells what was said or done too early, or what did not catch up.
+/// Runs a trial; returns `Err` for a violation or for a process that did not catch up.
 pub fn run(trial: Trial) -> Result<Outcome, String> {
     let mut world = World::new(trial.routes);
-    // The fourth machine joins, takes the first configuration and goes away.
+    // The fourth machine joins, receives the first configuration and is stopped.
     world.run_until(3_000, |_| false);
     world.change_every(5);
     if !world.run_until(20_000, |world| world.acknowledged >= 1 && world.cores[AWAY].revision >= 1) {
@@ -657,7 +662,7 @@
     }
     let order_ms = (world.now_ms() - begun) / trial.changes;
     world.change_every(trial.change_every_ms);
-    // The member that is away is taken out of the electorate.
+    // Meanwhile the stopped member is removed from the electorate.
     let settled_at = world.now_ms() + 4_000;
     world.run_until(settled_at, |_| false);
     let acknowledged = world.acknowledged;
@@ -665,7 +670,7 @@
     let until = world.now_ms() + 30_000;
     let caught_up = world.run_until(until, World::all_caught_up);
     if let Some(first) = world.violations.first() {
-        return Err(format!("{} things too early, first: {first}", world.violations.len()));
+        return Err(format!("{} violations, first: {first}", world.violations.len()));
     }
     if !caught_up {
         let state = |core: usize| (world.cores[core].answered_at, world.cores[core].voter_at);
@@ -674,24 +679,24 @@
     Ok(Outcome { order_ms, ..outcome(&world, acknowledged) })
 }
 
-/// What happens to a member while changes go on.
+/// How a member becomes unavailable while changes continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Absence {
-    /// It is cut off.
+    /// It is partitioned.
     Cut(Cut),
     /// Its process is frozen.
     Frozen,
-    /// Its process ends, and starts again after a second; what the others send does not arrive until the end.
+    /// Its process restarts after a second and receives no peer messages until the absence ends.
     Restarted,
-    /// Its process ends, starts again after a second, and so many milliseconds after that is frozen or cut off.
+    /// Its process restarts after a second and is frozen or partitioned the given number of milliseconds later.
     FrozenAfterStart(u64),
     CutAfterStart(Cut, u64),
 }
 
-/// A member is absent for a time in milliseconds and comes back. Returns what it said or did before it knew what had been
-/// acknowledged until then, and after how many milliseconds it knew.
+/// Makes a member unavailable for `for_ms` and lets it return. Returns the violations before it knew every revision
+/// acknowledged by its return, and the time in milliseconds until it knew them.
 pub fn run_absence(absence: Absence, for_ms: u64, change_every_ms: u64) -> (Vec<String>, u64) {
-    let mut world = World::new(ROUTES_OF_ABSENCE);
+    let mut world = World::new(ABSENCE_ROUTES);
     world.run_until(3_000, |_| false);
     world.change_every(change_every_ms);
     world.run_until(4_000, |_| false);
@@ -717,9 +722,9 @@
     world.heal(AWAY);
     let back = world.now_ms();
     world.run_until(back + 10_000, |world| !world.cores[AWAY].is_behind());
-    let knew = world.now_ms() - back;
+    let caught_up_ms = world.now_ms() - back;
     world.run_until(back + 800, |_| false);
-    (world.violations, knew)
+    (world.violations, caught_up_ms)
 }
 
 fn outcome(world: &World, acknowledged: u64) -> Outcome {
