--- a/crates/control/tests/electorate/faults.rs
+++ b/crates/control/tests/electorate/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults strike, and when: as soon as they are to be borne, and at the first message of a change.
+//! Injects faults as soon as they must be tolerated, or at the first message of an electorate change.
 
 use crate::checker::lost_now;
 use crate::machine::Power;
@@ -9,25 +9,25 @@
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is killed and comes back with its disk.
+    /// The process is killed and restarts with its disk.
     Kill,
-    /// The disk is lost; the machine comes back with an empty one.
+    /// The disk is lost; the machine restarts with an empty one.
     Wipe,
     /// The machine with the oldest disk loses it.
     WipeOldest,
-    /// The machine is taken away; a successor comes later, at another address.
+    /// The machine is permanently removed; a replacement starts later at another address.
     Replace,
-    /// A successor comes first; then the machine is told to end and goes.
+    /// A replacement starts first; then the machine is asked to terminate and is removed.
     PlannedReplace,
-    /// The process is told to end and comes back with its disk.
+    /// The process is asked to terminate and restarts with its disk.
     Restart,
-    /// The machine is cut off, hears nobody or is heard by nobody.
+    /// The machine is partitioned: both ways, receiving nothing, or sending nothing.
     Cut,
     Deafen,
     Silence,
     Freeze,
     StallDisk,
-    /// A whole zone is cut off, or loses its processes.
+    /// A whole zone is partitioned, or all its processes are killed.
     CutZone,
     KillZone,
     /// The process that sends the first message of the next change is killed.
@@ -36,7 +36,7 @@
     KillMajority,
     /// All processes are killed.
     KillAll,
-    /// Right after an acknowledgement all machines lose power, and as many as are to be borne lose their disks.
+    /// Right after an acknowledgement all machines lose power, and the tolerated number of machines lose their disks.
     LosePower,
 }
 
@@ -60,23 +60,23 @@
     Fault::LosePower,
 ];
 
-/// Time in milliseconds before a fault that can't be borne yet is tried again.
-const TRY_AGAIN_MS: u64 = 25;
+/// Delay in milliseconds before retrying a fault that is not tolerated yet.
+const RETRY_MS: u64 = 25;
 
-/// State of the faults of a day.
+/// State of the fault injection of a run.
 #[derive(Default)]
 pub struct Faults {
     pub is_over: bool,
-    /// Machines told to end that come back, with the pause before they do.
+    /// Terminating machines that will restart, with the delay before the restart.
     pub returning: BTreeMap<usize, u64>,
-    /// The fault that waits until it is to be borne.
-    waiting: Option<Fault>,
-    /// The fault that waits for the first message of a change.
-    pub aimed: Option<Fault>,
-    /// Whether the power fails at the next acknowledgement while nothing is lost.
+    /// The fault that is deferred until it is tolerated.
+    deferred: Option<Fault>,
+    /// The fault to inject at the first message of an electorate change.
+    pub at_next_change: Option<Fault>,
+    /// Whether all machines lose power at the next acknowledgement while nothing is lost.
     pub after_acknowledgement: bool,
-    /// Faults struck, by kind.
-    pub struck: BTreeMap<String, usize>,
+    /// Number of injected faults, by kind.
+    pub injected: BTreeMap<String, usize>,
 }
 
 impl Faults {
@@ -85,36 +85,36 @@
     }
 }
 
-/// Strikes the next fault if it can be borne now, and otherwise as soon as it can.
-pub fn strike_next(world: &mut World) {
+/// Injects the next fault, or defers it until it is tolerated.
+pub fn inject_next(world: &mut World) {
     if world.faults.is_over {
         return;
     }
-    let fault = match world.faults.waiting.take() {
+    let fault = match world.faults.deferred.take() {
         Some(fault) => fault,
         None => KINDS[world.random.usize(0..KINDS.len())],
     };
-    let pause = if strike(world, fault) {
-        if world.checker.narrated {
+    let pause = if inject(world, fault) {
+        if world.checker.verbose {
             println!("{} {fault:?}", world.now);
         }
-        *world.faults.struck.entry(format!("{fault:?}")).or_default() += 1;
-        // Often the next one follows as soon as it can be borne.
+        *world.faults.injected.entry(format!("{fault:?}")).or_default() += 1;
+        // Half of the faults follow almost at once, so that they are injected as soon as they are tolerated.
         if world.random.bool() {
             world.random.u64(0..300)
         } else {
             world.random.u64(300..7_000)
         }
     } else {
-        world.faults.waiting = Some(fault);
-        TRY_AGAIN_MS
+        world.faults.deferred = Some(fault);
+        RETRY_MS
     };
     let at = world.now + pause;
     world.add(at, Event::Fault);
 }
 
-/// Strikes a fault; tells whether it did.
-pub fn strike(world: &mut World, fault: Fault) -> bool {
+/// Injects a fault; returns false if it is not tolerated now.
+pub fn inject(world: &mut World, fault: Fault) -> bool {
     match fault {
         Fault::KillAll => {
             kill_all(world);
@@ -125,13 +125,13 @@
             true
         }
         Fault::KillDriver | Fault::KillMajority => {
-            world.faults.aimed = Some(fault);
+            world.faults.at_next_change = Some(fault);
             true
         }
-        Fault::CutZone | Fault::KillZone => strike_zone(world, fault),
-        _ => match bearable_machine(world, fault) {
+        Fault::CutZone | Fault::KillZone => inject_into_zone(world, fault),
+        _ => match tolerated_machine(world, fault) {
             Some(index) => {
-                strike_machine(world, fault, index);
+                inject_into_machine(world, fault, index);
                 true
             }
             None => false,
@@ -139,8 +139,8 @@
     }
 }
 
-/// A machine that counts and whose loss is to be borne now.
-fn bearable_machine(world: &mut World, fault: Fault) -> Option<usize> {
+/// Chooses an available machine whose loss is tolerated now.
+fn tolerated_machine(world: &mut World, fault: Fault) -> Option<usize> {
     let now = world.now;
     let mut lost = lost_now(&world.site, &world.machines, now);
     let counting = (0..world.machines.len()).filter(|index| {
@@ -157,10 +157,10 @@
     (lost.seats.len() <= world.site.machines_lost).then_some(index)
 }
 
-pub fn strike_machine(world: &mut World, fault: Fault, index: usize) {
+pub fn inject_into_machine(world: &mut World, fault: Fault, index: usize) {
     let now = world.now;
     let until = now + world.random.u64(100..12_000);
-    if world.checker.narrated {
+    if world.checker.verbose {
         println!("{} {fault:?} {index} {:x} until {until}", world.now, world.machines[index].replica);
     }
     match fault {
@@ -173,11 +173,11 @@
             let seat = world.machines[index].seat;
             world.stop(index, true);
             let at = now + world.random.u64(0..5_000);
-            world.add(at, Event::Succeed(seat));
+            world.add(at, Event::StartReplacement(seat));
         }
         Fault::PlannedReplace => {
             let seat = world.machines[index].seat;
-            world.add(now, Event::Succeed(seat));
+            world.add(now, Event::StartReplacement(seat));
             let at = now + world.random.u64(4_100..9_000);
             world.add(at, Event::Terminate(index, false));
         }
@@ -198,7 +198,7 @@
     world.add(at, Event::Start(index));
 }
 
-fn strike_zone(world: &mut World, fault: Fault) -> bool {
+fn inject_into_zone(world: &mut World, fault: Fault) -> bool {
     if world.site.zones_lost == 0 {
         return true;
     }
@@ -222,11 +222,11 @@
     for index in 0..world.machines.len() {
         restart_after(world, index, 1_000);
     }
-    world.checker.forget_losses();
+    world.checker.discard_losses();
 }
 
-/// An order was acknowledged.
-pub fn strike_after_acknowledgement(world: &mut World) {
+/// Injects the pending power loss after an acknowledged order.
+pub fn inject_after_acknowledgement(world: &mut World) {
     let nothing_lost = lost_now(&world.site, &world.machines, world.now).seats.is_empty();
     if !world.faults.after_acknowledgement || world.faults.is_over || !nothing_lost {
         return;
@@ -241,18 +241,19 @@
     }
 }
 
-/// A message of a change of the electorate is sent: the fault that waits for it strikes, now or in its course.
-pub fn aim(world: &mut World, sender: usize, electorate: &Electorate) {
+/// Schedules the fault that is pending for an electorate change when a message of the change is sent; it is injected
+/// immediately or while the change is in progress.
+pub fn schedule_at_change(world: &mut World, sender: usize, electorate: &Electorate) {
     if !electorate.is_joint() || world.faults.is_over {
         return;
     }
-    if let Some(fault) = world.faults.aimed.take() {
+    if let Some(fault) = world.faults.at_next_change.take() {
         let at = world.now + world.random.u64(0..80);
-        world.add(at, Event::Aimed(fault, sender));
+        world.add(at, Event::FaultDuringChange(fault, sender));
     }
 }
 
-pub fn strike_aimed(world: &mut World, fault: Fault, sender: usize) {
+pub fn inject_during_change(world: &mut World, fault: Fault, sender: usize) {
     if fault == Fault::KillMajority {
         let running = (0..world.machines.len()).filter(|index| world.machines[*index].node().is_some());
         let mut running: Vec<usize> = running.collect();
@@ -261,13 +262,13 @@
         for index in killed {
             restart_after(world, index, 2_500);
         }
-        world.checker.forget_losses();
+        world.checker.discard_losses();
         return;
     }
     let mut lost = lost_now(&world.site, &world.machines, world.now);
     lost.seats.push(world.machines[sender].seat);
     let runs = matches!(world.machines[sender].power, Power::Running(_));
     if runs && lost.seats.len() <= world.site.machines_lost {
-        strike_machine(world, fault, sender);
+        inject_into_machine(world, fault, sender);
     }
 }
--- a/crates/control/tests/electorate/machine.rs
+++ b/crates/control/tests/electorate/machine.rs
@@ -1,12 +1,12 @@
-//! A core machine: its process, its disk, and the trouble it is in.
+//! A simulated core machine: its process, disk and active faults.
 
 use std::collections::VecDeque;
 use switchhill_control::{ControlNode, Input};
 
-/// Time in milliseconds for which a machine counts as lost after it is back.
+/// Time in milliseconds for which a recovered machine still counts as lost.
 pub const CATCH_UP_MS: u64 = 4_000;
 
-/// The disk: synced records and those on their way.
+/// A disk with its synced records and its pending writes (due time, token, record).
 #[derive(Default)]
 pub struct Disk {
     pub synced: Vec<Vec<u8>>,
@@ -15,7 +15,7 @@
 }
 
 impl Disk {
-    /// Takes out what is durable at `now`; returns the last token.
+    /// Completes the writes due by `now`; returns the token of the last one.
     pub fn advance(&mut self, now: u64) -> Option<u64> {
         if now < self.stalled_until {
             return None;
@@ -33,7 +33,7 @@
         last
     }
 
-    /// The process is gone: a prefix of what was under way has reached the disk.
+    /// Simulates a crash of the process: a random prefix of the pending writes reaches the disk.
     pub fn crash(&mut self, random: &mut fastrand::Rng) {
         let reached = random.usize(0..=self.pending.len());
         let pending = std::mem::take(&mut self.pending);
@@ -41,39 +41,40 @@
     }
 }
 
-/// Whether a process runs.
+/// State of a machine's process.
 pub enum Power {
     Running(Box<ControlNode>),
-    /// Runs and takes part in nothing; its inputs wait.
+    /// The process is suspended; its inputs are queued.
     Frozen(Box<ControlNode>, Vec<Input>),
     Down,
-    /// Taken away for good.
+    /// The machine is permanently removed.
     Gone,
 }
 
-/// A machine.
+/// A simulated core machine.
 pub struct Machine {
-    /// Which machine of the site it is: a successor takes the seat of the one that it replaces.
+    /// Position in the site; a replacement takes the seat of the machine it replaces.
     pub seat: usize,
     pub zone: usize,
     pub address: String,
     pub replica: u64,
-    /// Whether the replica is of the first electorate.
+    /// Whether the replica belongs to the first electorate.
     pub genesis: bool,
     pub power: Power,
     pub disk: Disk,
-    /// Number of the present life of the process.
+    /// Incarnation number of the process; events of earlier incarnations are ignored.
     pub life: u64,
-    /// Cut off in full until then.
+    /// Time until which no messages are sent or received.
     pub cut_until: u64,
-    /// What it sends, or what is sent to it, is lost until then.
+    /// Time until which received messages are lost.
     pub deaf_until: u64,
+    /// Time until which sent messages are lost.
     pub mute_until: u64,
-    /// Since when it has run without trouble.
+    /// Time since which the machine has run without a fault.
     pub well_since: Option<u64>,
-    /// When the process was told to end.
+    /// Time at which the process was asked to terminate.
     pub leaving_since: Option<u64>,
-    /// Whether it was told to end and is to come back: it is as good as down.
+    /// Whether the process was asked to terminate and will restart; it is treated as down.
     pub is_to_return: bool,
 }
 
@@ -85,24 +86,24 @@
         }
     }
 
-    pub fn is_in_trouble(&self, now: u64) -> bool {
+    pub fn is_faulty(&self, now: u64) -> bool {
         let links = [self.cut_until, self.deaf_until, self.mute_until, self.disk.stalled_until];
         !matches!(self.power, Power::Running(_))
             || self.is_to_return
             || links.iter().any(|until| now < *until)
     }
 
-    /// Notes since when the machine is well.
+    /// Updates the time since which the machine has run without a fault.
     pub fn note_state(&mut self, now: u64) {
-        if self.is_in_trouble(now) {
+        if self.is_faulty(now) {
             self.well_since = None;
         } else {
             self.well_since.get_or_insert(now);
         }
     }
 
-    /// Whether it has run without trouble for long enough to count. One that is told to end still counts: it goes only
-    /// once it may.
+    /// Whether the machine has run without a fault for long enough to count as available. A machine asked to terminate
+    /// still counts, because it exits only once the electorate can do without it.
     pub fn counts(&self, now: u64) -> bool {
         self.well_since.is_some_and(|since| now >= since + CATCH_UP_MS)
     }
--- a/crates/control/tests/electorate/main.rs
+++ b/crates/control/tests/electorate/main.rs
@@ -1,8 +1,8 @@
-//! Changes of the electorate by seed, over real core nodes in virtual time.
+//! Seeded fault-injection tests of electorate changes, with real core nodes in virtual time.
 //!
-//! Losses strike as soon as they are to be borne: machines and zones, replacements planned and not, cuts one way and both
-//! ways, restarts of a majority in the middle of a change. Checked are what was acknowledged, and that at no moment a
-//! further loss that is to be borne would leave the electorate without a majority.
+//! Faults are injected as soon as the site must tolerate them: losses of machines and zones, planned and unplanned
+//! replacements, one-way and two-way network partitions, and restarts of a majority during a change. The tests check that
+//! acknowledged orders survive, and that no further tolerated loss could ever leave the electorate without a majority.
 
 mod checker;
 mod faults;
@@ -20,20 +20,20 @@
 use site::{Flaw, Site};
 use world::World;
 
-/// Length of the trouble of a day, in milliseconds.
-const TROUBLE_MS: u64 = 60_000;
+/// Duration of the fault injection in one run, in milliseconds.
+const FAULTS_MS: u64 = 60_000;
 
-/// For how long a further loss may leave no majority, in milliseconds.
-const EXPOSED_WITHIN: u64 = 0;
+/// Longest time in milliseconds for which a further tolerated loss may leave no majority.
+const MAX_EXPOSED_MS: u64 = 0;
 
-/// From a machine's return or its successor's start to the electorate in which it votes or need not, in milliseconds:
-/// `catchUpS`, after which another machine may be lost.
-const FULL_WITHIN: u64 = 4_000;
+/// Limit in milliseconds from a machine's restart or its replacement's start until it votes, or until the electorate has
+/// full fault tolerance without it: `catchUpS`, after which another machine may be lost.
+const MAX_BACK_TO_FULL_MS: u64 = 4_000;
 
-/// Longest time without an acknowledgement while no more is lost than is to be borne: `ackMs`.
-const ACKNOWLEDGED_WITHIN: u64 = 4_000;
+/// Longest time in milliseconds between acknowledgements while the losses are tolerated: `ackMs`.
+const MAX_UNACKNOWLEDGED_MS: u64 = 4_000;
 
-/// Cores of 3 to 11 machines, in all layouts that the deployments have and some that they have not.
+/// Cores of 3 to 11 machines, in all deployed layouts and some others.
 const SITES: [Site; 11] = [
     Site { zones: &[2, 1], machines_lost: 1, zones_lost: 0 },
     Site { zones: &[1, 1, 1], machines_lost: 1, zones_lost: 1 },
@@ -48,102 +48,108 @@
     Site { zones: &[7], machines_lost: 3, zones_lost: 0 },
 ];
 
-/// What the days of a site came to, worst of all.
+/// Worst results of all runs of a site.
 #[derive(Debug, Default)]
-struct Days {
+struct RunResults {
     figures: Figures,
     violations: Vec<String>,
-    slowest: (u64, u64, u64),
+    /// Seeds with the worst `longest_exposed`, `back_to_full` and `longest_unacknowledged`.
+    worst_seeds: (u64, u64, u64),
 }
 
-fn play(site: Site, flaw: Option<Flaw>, seeds: std::ops::Range<u64>) -> Days {
-    let mut days = Days::default();
+fn run(site: Site, flaw: Option<Flaw>, seeds: std::ops::Range<u64>) -> RunResults {
+    let mut results = RunResults::default();
     for seed in seeds {
-        let (figures, violations) = World::new(seed, site, flaw).play(TROUBLE_MS);
-        let all = &mut days.figures;
-        all.changes += figures.changes;
-        all.acknowledged += figures.acknowledged;
-        if figures.longest_exposed > all.longest_exposed {
-            (all.longest_exposed, days.slowest.0) = (figures.longest_exposed, seed);
+        let (figures, violations) = World::new(seed, site, flaw).run(FAULTS_MS);
+        let total = &mut results.figures;
+        total.changes += figures.changes;
+        total.acknowledged += figures.acknowledged;
+        if figures.longest_exposed > total.longest_exposed {
+            (total.longest_exposed, results.worst_seeds.0) = (figures.longest_exposed, seed);
         }
-        if figures.back_to_full > all.back_to_full {
-            (all.back_to_full, days.slowest.1) = (figures.back_to_full, seed);
+        if figures.back_to_full > total.back_to_full {
+            (total.back_to_full, results.worst_seeds.1) = (figures.back_to_full, seed);
         }
-        if figures.longest_unacknowledged > all.longest_unacknowledged {
-            (all.longest_unacknowledged, days.slowest.2) = (figures.longest_unacknowledged, seed);
+        if figures.longest_unacknowledged > total.longest_unacknowledged {
+            (total.longest_unacknowledged, results.worst_seeds.2) = (figures.longest_unacknowledged, seed);
         }
-        all.loss_to_full = all.loss_to_full.max(figures.loss_to_full);
-        days.violations.extend(violations);
+        total.loss_to_full = total.loss_to_full.max(figures.loss_to_full);
+        results.violations.extend(violations);
     }
-    println!("{site:?}: {:?}, worst seeds {:?}", days.figures, days.slowest);
-    days
+    println!("{site:?}: {:?}, worst seeds {:?}", results.figures, results.worst_seeds);
+    results
 }
 
-fn expect_sound(site: Site, days: &Days) {
-    expect_that!(days.violations, is_empty(), "{site:?}");
-    let worst = &days.slowest;
-    expect_that!(days.figures.longest_exposed, le(EXPOSED_WITHIN), "{site:?}, seed {}", worst.0);
-    expect_that!(days.figures.back_to_full, le(FULL_WITHIN), "{site:?}, seed {}", worst.1);
-    expect_that!(days.figures.longest_unacknowledged, le(ACKNOWLEDGED_WITHIN), "{site:?}, seed {}", worst.2);
+fn expect_within_limits(site: Site, results: &RunResults) {
+    expect_that!(results.violations, is_empty(), "{site:?}");
+    let worst = &results.worst_seeds;
+    expect_that!(results.figures.longest_exposed, le(MAX_EXPOSED_MS), "{site:?}, seed {}", worst.0);
+    expect_that!(results.figures.back_to_full, le(MAX_BACK_TO_FULL_MS), "{site:?}, seed {}", worst.1);
+    expect_that!(
+        results.figures.longest_unacknowledged,
+        le(MAX_UNACKNOWLEDGED_MS),
+        "{site:?}, seed {}",
+        worst.2
+    );
 }
 
 #[gtest]
-fn electorates_bear_the_losses_of_their_sites() {
+fn electorates_tolerate_the_losses_of_their_sites() {
     for site in SITES {
-        expect_sound(site, &play(site, None, 0..3));
+        expect_within_limits(site, &run(site, None, 0..3));
     }
 }
 
-/// Run by hand, optimized: `SEEDS=0..1000 cargo test --release -p switchhill-control --test electorate -- --ignored many`.
+/// Run manually with optimizations: `SEEDS=0..1000 cargo test --release -p switchhill-control --test electorate -- --ignored many`.
 #[gtest]
 #[ignore = "takes minutes"]
-fn many_days_bear_the_losses_of_their_sites() {
+fn many_runs_tolerate_the_losses_of_their_sites() {
     let seeds = std::env::var("SEEDS").unwrap_or_else(|_| "1000..1200".into());
     let (first, end) = seeds.split_once("..").expect("SEEDS is a range");
     let seeds = first.parse().expect("a number")..end.parse().expect("a number");
     for site in SITES {
-        expect_sound(site, &play(site, None, seeds.clone()));
+        expect_within_limits(site, &run(site, None, seeds.clone()));
     }
 }
 
-/// One day with its events: `SITE=0 SEED=37 cargo test ... -- --ignored --nocapture narrated`.
+/// Replays one run and prints its events: `SITE=0 SEED=37 cargo test ... -- --ignored --nocapture one_run`.
 #[gtest]
-#[ignore = "replays one day"]
-fn one_day_narrated() {
+#[ignore = "replays one run"]
+fn one_run_with_events() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     let mut world = World::new(number("SEED") as u64, SITES[number("SITE")], None);
-    world.checker.narrated = true;
-    let (figures, violations) = world.play(TROUBLE_MS);
+    world.checker.verbose = true;
+    let (figures, violations) = world.run(FAULTS_MS);
     println!("{figures:?}");
     expect_that!(violations, is_empty());
 }
 
-/// What a site's days come to with a planted fault.
-fn with_flaw(site: usize, flaw: Flaw, seeds: std::ops::Range<u64>) -> Days {
-    play(SITES[site], Some(flaw), seeds)
+/// Runs a site with an injected defect.
+fn with_flaw(site: usize, flaw: Flaw, seeds: std::ops::Range<u64>) -> RunResults {
+    run(SITES[site], Some(flaw), seeds)
 }
 
 #[gtest]
-fn a_wiped_machine_that_answers_under_its_old_id_is_found() {
-    // Of these days, one shows it; most end before the wiped replica's vote decides anything.
-    let days = with_flaw(5, Flaw::WipedKeepsId, 0..6);
-    expect_that!(days.violations, not(is_empty()));
+fn a_wiped_machine_that_keeps_its_old_id_is_detected() {
+    // Only one of these runs detects the defect; most end before the vote of the wiped replica is decisive.
+    let results = with_flaw(5, Flaw::WipedKeepsId, 0..6);
+    expect_that!(results.violations, not(is_empty()));
 }
 
 #[gtest]
-fn members_dropped_below_2f_plus_1_are_found() {
-    let days = with_flaw(9, Flaw::DropsBelowQuorum, 0..3);
-    expect_that!(days.figures.longest_exposed, gt(EXPOSED_WITHIN));
+fn members_removed_below_2f_plus_1_are_detected() {
+    let results = with_flaw(9, Flaw::DropsBelowQuorum, 0..3);
+    expect_that!(results.figures.longest_exposed, gt(MAX_EXPOSED_MS));
 }
 
 #[gtest]
-fn zones_ignored_are_found() {
-    let days = with_flaw(5, Flaw::IgnoresZones, 0..2);
-    expect_that!(days.figures.longest_exposed, gt(EXPOSED_WITHIN));
+fn ignored_zones_are_detected() {
+    let results = with_flaw(5, Flaw::IgnoresZones, 0..2);
+    expect_that!(results.figures.longest_exposed, gt(MAX_EXPOSED_MS));
 }
 
 #[gtest]
-fn a_process_that_leaves_at_once_is_found() {
-    let days = with_flaw(0, Flaw::LeavesAtOnce, 0..12);
-    expect_that!(days.figures.longest_exposed, gt(EXPOSED_WITHIN));
+fn a_process_that_exits_without_waiting_is_detected() {
+    let results = with_flaw(0, Flaw::LeavesAtOnce, 0..12);
+    expect_that!(results.figures.longest_exposed, gt(MAX_EXPOSED_MS));
 }
--- a/crates/control/tests/electorate/operator.rs
+++ b/crates/control/tests/electorate/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: sends changes, sends one again that is open, and reads where it has lost track.
+//! A simulated operator that sends changes, and reads the configuration when the outcome of a change is unknown.
 
 use bytes::Bytes;
 use googletest::prelude::*;
@@ -6,13 +6,13 @@
 use switchhill_configuration::{Order, OrderKind};
 use switchhill_control::{Answer, Call, CallId};
 
-/// Time in milliseconds after which a call without an answer is given up.
-const GIVE_UP_MS: u64 = 1_200;
+/// Timeout in milliseconds of a call.
+const CALL_TIMEOUT_MS: u64 = 1_200;
 
-/// Code of the answer that no configuration has been taken yet.
-const NOTHING_TAKEN: u64 = 3002;
+/// Error code returned while no configuration has been accepted yet.
+const NO_CONFIGURATION: u64 = 3002;
 
-/// An order and its marker, by which it is known when it is read back.
+/// A sent order, with the marker that identifies it when it is read back.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub base: u64,
@@ -25,7 +25,7 @@
     Read,
 }
 
-/// The operator's calls under way, and the newest revision known.
+/// The operator's pending calls and the newest known revision.
 #[derive(Default)]
 pub struct Operator {
     open: BTreeMap<CallId, (u64, Open)>,
@@ -34,8 +34,8 @@
     next_call: u64,
 }
 
-/// What an answer says.
-pub enum Learnt {
+/// Result of processing an answer.
+pub enum AnswerOutcome {
     Acknowledged(Sent),
     Read { revision: u64, marker: u64 },
     Nothing,
@@ -43,7 +43,7 @@
 
 impl Operator {
     pub fn next(&mut self, now: u64) -> (CallId, Call) {
-        self.give_up(now);
+        self.expire_calls(now);
         if self.must_read {
             return self.read(now);
         }
@@ -66,34 +66,34 @@
         (id, Call::Read)
     }
 
-    fn give_up(&mut self, now: u64) {
+    fn expire_calls(&mut self, now: u64) {
         let before = self.open.len();
-        self.open.retain(|_, (since, _)| now < *since + GIVE_UP_MS);
-        // What became of a change is not known: the next one builds on what is read.
+        self.open.retain(|_, (since, _)| now < *since + CALL_TIMEOUT_MS);
+        // The outcome of an expired change is unknown, so the next change must be based on a read.
         self.must_read |= self.open.len() < before;
     }
 
-    pub fn answered(&mut self, id: CallId, answer: &Answer) -> Learnt {
-        let Some((_, open)) = self.open.remove(&id) else { return Learnt::Nothing };
+    pub fn answered(&mut self, id: CallId, answer: &Answer) -> AnswerOutcome {
+        let Some((_, open)) = self.open.remove(&id) else { return AnswerOutcome::Nothing };
         match open {
             Open::Change(sent) if answer.status == 200 => {
                 self.revision = self.revision.max(sent.revision);
-                Learnt::Acknowledged(sent)
+                AnswerOutcome::Acknowledged(sent)
             }
             Open::Change(_) => {
                 self.must_read = true;
-                Learnt::Nothing
+                AnswerOutcome::Nothing
             }
             Open::Read if answer.status == 200 => {
                 let revision = number_after(&answer.body, "\"revision\":");
                 let marker = number_after(&answer.body, "\"marker\":");
                 self.must_read = false;
                 self.revision = self.revision.max(revision);
-                Learnt::Read { revision, marker }
+                AnswerOutcome::Read { revision, marker }
             }
             Open::Read => {
-                self.must_read &= number_after(&answer.body, "\"code\":") != NOTHING_TAKEN;
-                Learnt::Nothing
+                self.must_read &= number_after(&answer.body, "\"code\":") != NO_CONFIGURATION;
+                AnswerOutcome::Nothing
             }
         }
     }
@@ -105,15 +105,15 @@
     digits.map(String::from_iter).and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
-/// The first order may be left without an answer, and then nothing is there to be read.
+/// Guards against a stuck operator: if the first order times out, the following read finds no configuration.
 #[gtest]
-fn an_operator_told_that_nothing_is_taken_sends_a_first_order() {
+fn an_operator_told_that_no_configuration_exists_sends_a_first_order() {
     let mut operator = Operator::default();
     operator.next(0);
-    let (read, call) = operator.next(GIVE_UP_MS);
+    let (read, call) = operator.next(CALL_TIMEOUT_MS);
     expect_that!(call, matches_pattern!(Call::Read));
     let body = Bytes::from_static(b"{\"code\":3002,\"error\":\"no configuration has been taken yet\"}");
     operator.answered(read, &Answer { status: 503, body });
-    let (_, call) = operator.next(GIVE_UP_MS + 1);
+    let (_, call) = operator.next(CALL_TIMEOUT_MS + 1);
     expect_that!(call, matches_pattern!(Call::Change(_)));
 }
--- a/crates/control/tests/electorate/site.rs
+++ b/crates/control/tests/electorate/site.rs
@@ -1,24 +1,24 @@
-//! The sites that are simulated, and the faults planted into them.
+//! Simulated sites, and the defects injected to test the checker.
 
-/// A core: its machines by zone, and the losses that it is to bear.
+/// Layout of a core by zone, and the losses that it must tolerate.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
-    /// Core machines in each zone; all of them run the control plane.
+    /// Number of core machines in each zone; all of them run the control plane.
     pub zones: &'static [usize],
     pub machines_lost: usize,
     pub zones_lost: usize,
 }
 
-/// A planted fault, to show that the checkers notice.
+/// A defect injected to verify that the checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flaw {
-    /// A machine with an empty disk answers under the id it had.
+    /// A machine whose disk was wiped keeps its replica id.
     WipedKeepsId,
-    /// The nodes drop members as if no loss were to be borne.
+    /// The nodes remove members as if no machine loss had to be tolerated.
     DropsBelowQuorum,
-    /// The nodes don't know that a zone may be lost.
+    /// The nodes ignore the configured tolerance of zone losses.
     IgnoresZones,
-    /// A process ends at SIGTERM without waiting for the electorate to go on without it.
+    /// A process exits on SIGTERM without waiting to be removed from the electorate.
     LeavesAtOnce,
 }
 
@@ -27,7 +27,7 @@
         self.zones.iter().sum()
     }
 
-    /// Zone of each machine, in the operator's order.
+    /// Zone of each machine, ordered by seat.
     pub fn zone_of_each(&self) -> Vec<usize> {
         let zones = self.zones.iter().enumerate();
         zones.flat_map(|(zone, size)| std::iter::repeat_n(zone, *size)).collect()
--- a/crates/control/tests/electorate/world.rs
+++ b/crates/control/tests/electorate/world.rs
@@ -1,39 +1,39 @@
-//! Core nodes in virtual time: their network, disks and restarts.
+//! Simulates core nodes in virtual time with their network, disks and restarts.
 
-use crate::checker::{is_bearable, lost_now, Checker, Figures};
+use crate::checker::{is_tolerated, lost_now, Checker, Figures};
 use crate::faults::{Fault, Faults};
 use crate::machine::{Disk, Machine, Power};
 use crate::node_settings::node_settings;
-use crate::operator::{Learnt, Operator};
+use crate::operator::{AnswerOutcome, Operator};
 use crate::site::{Flaw, Site};
 use std::collections::{BTreeMap, VecDeque};
 use switchhill_control::{ControlNode, Input, NodeSettings, Output};
 use switchhill_protocol::{PeerBody, PeerFrame};
 use switchhill_register::{Body, Electorate, Member, Message, ReplicaId};
 
-/// Machines of the first electorate.
+/// Number of machines in the first electorate.
 const FIRST_VOTERS: usize = 3;
 
-/// Time of the first event, so that times before it can be named.
+/// Time of the first event; it is above zero so that earlier times can be represented.
 pub const START_MS: u64 = 1_000_000;
 
-/// Calm at the end of a day, longer than any trouble.
-const LAST_CALM_MS: u64 = 25_000;
+/// Time without faults at the end of a run, longer than any fault.
+const RECOVERY_MS: u64 = 25_000;
 
-/// Time for the last reads.
+/// Time for the final reads.
 const READ_BACK_MS: u64 = 3_000;
 
 const TICK_MS: u64 = 25;
-const LOOK_MS: u64 = 10;
+const CHECK_MS: u64 = 10;
 const OPERATOR_MS: u64 = 150;
 
-/// Time of a sync of the disk.
+/// Duration of a disk sync.
 const SYNC_MS: u64 = 5;
 
-/// Longest time that a process told to end waits, as the program does: `graceS` less a second.
-const LEAVE_WITHIN_MS: u64 = 7_000;
+/// Longest time that a terminating process waits before it exits, as in the program: `graceS` minus one second.
+const MAX_LEAVE_MS: u64 = 7_000;
 
-/// Something that happens to a machine or to the world.
+/// An event of the simulation.
 pub enum Event {
     Tick(usize, u64),
     Deliver(String, Box<PeerFrame>),
@@ -41,13 +41,13 @@
     Start(usize),
     Thaw(usize),
     Operate,
-    Look,
+    Check,
     Fault,
-    /// Strikes the machine that sent the first message of a change of the electorate, or the majority with it.
-    Aimed(Fault, usize),
-    /// A successor starts in this seat.
-    Succeed(usize),
-    /// A machine is told to end; whether it comes back.
+    /// Injects a fault into the machine that sent the first message of an electorate change, or into a majority.
+    FaultDuringChange(Fault, usize),
+    /// Starts a replacement in this seat.
+    StartReplacement(usize),
+    /// Asks a machine to terminate; the flag tells whether it restarts.
     Terminate(usize, bool),
 }
 
@@ -67,8 +67,8 @@
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     next_address: u64,
-    /// Whether the newest reads are to be judged: all is calm.
-    judging: bool,
+    /// Whether reads must return the newest acknowledged order, because all faults have ended.
+    checks_reads: bool,
 }
 
 impl World {
@@ -89,7 +89,7 @@
             events: BTreeMap::new(),
             next_event: 0,
             next_address: 0,
-            judging: false,
+            checks_reads: false,
         };
         for (seat, zone) in site.zone_of_each().into_iter().enumerate() {
             world.add_machine(seat, zone);
@@ -101,16 +101,16 @@
             let at = world.now + world.random.u64(0..300);
             world.add(at, Event::Start(index));
         }
-        world.add(world.now, Event::Look);
+        world.add(world.now, Event::Check);
         world.add(world.now + 1_500, Event::Operate);
         world
     }
 
-    /// Adds a machine that does not run yet.
+    /// Adds a machine whose process is not running yet.
     pub fn add_machine(&mut self, seat: usize, zone: usize) -> usize {
         self.next_address += 1;
         let address = format!("10.0.0.{}:7000", self.next_address);
-        // Ids of successors are drawn, so that they come before and after the others in the agreed order.
+        // Random replica ids place replacements before and after the other machines in the agreed order.
         let replica = self.random.u64(1..1 << 40);
         self.machines.push(Machine {
             seat,
@@ -136,7 +136,7 @@
         self.events.insert((at.max(self.now), self.next_event), event);
     }
 
-    /// Plays until a time.
+    /// Runs the simulation until `end`.
     pub fn run_until(&mut self, end: u64) {
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > end {
@@ -144,25 +144,25 @@
             }
             self.now = entry.key().0;
             let event = entry.remove();
-            self.happen(event);
+            self.handle(event);
         }
         self.now = end;
     }
 
-    /// Plays a day: trouble, then calm, then reads that must see all that was acknowledged.
-    pub fn play(mut self, trouble_ms: u64) -> (Figures, Vec<String>) {
+    /// Runs fault injection, then recovery, then reads that must return all acknowledged orders.
+    pub fn run(mut self, faults_ms: u64) -> (Figures, Vec<String>) {
         let start = self.now;
         self.run_until(start + 6_000);
         self.add(self.now, Event::Fault);
-        self.run_until(start + 6_000 + trouble_ms);
-        self.end_calmly(LAST_CALM_MS)
+        self.run_until(start + 6_000 + faults_ms);
+        self.finish(RECOVERY_MS)
     }
 
-    /// Ends all trouble and reads everything back.
-    pub fn end_calmly(mut self, calm_ms: u64) -> (Figures, Vec<String>) {
+    /// Stops the fault injection, waits for recovery and checks the final state.
+    pub fn finish(mut self, recovery_ms: u64) -> (Figures, Vec<String>) {
         self.faults.is_over = true;
-        self.run_until(self.now + calm_ms);
-        self.judging = true;
+        self.run_until(self.now + recovery_ms);
+        self.checks_reads = true;
         let acknowledged = self.checker.figures.acknowledged;
         for index in 0..self.machines.len() {
             let (id, call) = self.operator.read(self.now);
@@ -170,7 +170,7 @@
         }
         self.run_until(self.now + READ_BACK_MS);
         if self.checker.figures.acknowledged == acknowledged {
-            self.checker.violations.push("no order is acknowledged after all trouble has ended".into());
+            self.checker.violations.push("no order is acknowledged after all faults have ended".into());
         }
         self.check_last_electorate();
         let seed = self.seed;
@@ -178,21 +178,23 @@
         (self.checker.figures, violations.collect())
     }
 
-    /// In the end all members are up, and they are enough.
+    /// Checks that all members of the final electorate are running, and that there are enough of them.
     fn check_last_electorate(&mut self) {
         let Some(electorate) = self.checker.electorate().cloned() else { return };
         let up = |member: &&Member| {
             let mut of_member = self.machines.iter().filter(|machine| machine.replica == member.id.0);
-            of_member.any(|machine| !machine.is_in_trouble(self.now))
+            of_member.any(|machine| !machine.is_faulty(self.now))
         };
         let members_up = electorate.members.iter().filter(up).count();
         let least = (2 * self.site.machines_lost + 1).min(self.site.machines());
         if electorate.is_joint() || members_up < electorate.members.len() || members_up < least {
-            self.checker.violations.push(format!("the last electorate has {members_up} up: {electorate:?}"));
+            self.checker
+                .violations
+                .push(format!("the final electorate has {members_up} running members: {electorate:?}"));
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(index, life) => self.tick(index, life),
             Event::Deliver(address, frame) => self.deliver(&address, *frame),
@@ -200,25 +202,25 @@
             Event::Start(index) => self.start(index),
             Event::Thaw(index) => self.thaw(index),
             Event::Operate => self.operate(),
-            Event::Look => self.look(),
-            Event::Fault => crate::faults::strike_next(self),
-            Event::Aimed(fault, index) => crate::faults::strike_aimed(self, fault, index),
-            Event::Succeed(seat) => self.succeed(seat),
+            Event::Check => self.check(),
+            Event::Fault => crate::faults::inject_next(self),
+            Event::FaultDuringChange(fault, index) => crate::faults::inject_during_change(self, fault, index),
+            Event::StartReplacement(seat) => self.start_replacement(seat),
             Event::Terminate(index, returns) => self.terminate(index, returns),
         }
     }
 
-    fn look(&mut self) {
-        self.add(self.now + LOOK_MS, Event::Look);
+    fn check(&mut self) {
+        self.add(self.now + CHECK_MS, Event::Check);
         let now = self.now;
         for machine in &mut self.machines {
             machine.note_state(now);
         }
-        self.checker.look(now, &self.site, &self.machines);
+        self.checker.check(now, &self.site, &self.machines);
         let lost = lost_now(&self.site, &self.machines, now);
-        if !is_bearable(&self.site, &lost) {
+        if !is_tolerated(&self.site, &lost) {
             self.last_acknowledged = now;
-            self.checker.forget_losses();
+            self.checker.discard_losses();
         }
         if now > self.started + 10_000 {
             let waited = now - self.last_acknowledged;
@@ -229,7 +231,7 @@
 
     fn operate(&mut self) {
         self.add(self.now + OPERATOR_MS, Event::Operate);
-        let up = (0..self.machines.len()).filter(|index| !self.machines[*index].is_in_trouble(self.now));
+        let up = (0..self.machines.len()).filter(|index| !self.machines[*index].is_faulty(self.now));
         let up: Vec<usize> = up.collect();
         if let Some(index) = self.random.choice(up) {
             let (id, call) = self.operator.next(self.now);
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Starts a machine's process with what its disk holds.
+    /// Starts a machine's process from the records on its disk.
     fn start(&mut self, index: usize) {
         if !matches!(self.machines[index].power, Power::Down) {
             return;
@@ -258,19 +260,19 @@
         machine.leaving_since = None;
         machine.is_to_return = false;
         let (seat, life) = (machine.seat, machine.life);
-        self.checker.seat_back(seat, self.now);
+        self.checker.record_return(seat, self.now);
         self.add(self.now, Event::Tick(index, life));
     }
 
     fn settings(&self, index: usize, life: u64) -> NodeSettings {
         let machine = &self.machines[index];
-        let drops = self.flaw == Some(Flaw::DropsBelowQuorum);
-        let ignores = self.flaw == Some(Flaw::IgnoresZones);
+        let removes_below_quorum = self.flaw == Some(Flaw::DropsBelowQuorum);
+        let ignores_zones = self.flaw == Some(Flaw::IgnoresZones);
         NodeSettings {
             node_name: format!("core-{index}"),
-            machines_lost: if drops { 0 } else { self.site.machines_lost },
+            machines_lost: if removes_below_quorum { 0 } else { self.site.machines_lost },
             zone: format!("zone-{}", machine.zone),
-            zones_lost: if ignores { 0 } else { self.site.zones_lost },
+            zones_lost: if ignores_zones { 0 } else { self.site.zones_lost },
             worker_heartbeat_ms: 1_200,
             lease_ms: 3_000,
             ..node_settings(machine.replica, life, machine.address.clone(), self.seeds.clone())
@@ -287,14 +289,14 @@
         if matches!(self.machines[index].power, Power::Running(_)) {
             self.input(index, Input::Tick);
         }
-        self.end_if_it_may(index);
+        self.exit_if_allowed(index);
     }
 
-    fn end_if_it_may(&mut self, index: usize) {
+    fn exit_if_allowed(&mut self, index: usize) {
         let machine = &self.machines[index];
         let (Some(since), Some(node)) = (machine.leaving_since, machine.node()) else { return };
         let at_once = self.flaw == Some(Flaw::LeavesAtOnce);
-        if at_once || self.now >= since + LEAVE_WITHIN_MS || node.may_leave(self.now) {
+        if at_once || self.now >= since + MAX_LEAVE_MS || node.may_leave(self.now) {
             let returns = self.faults.returning.remove(&index);
             self.stop(index, returns.is_none());
             if let Some(pause) = returns {
@@ -306,8 +308,8 @@
     fn terminate(&mut self, index: usize, returns: bool) {
         let machine = &self.machines[index];
         let others = self.machines.iter().filter(|other| other.seat == machine.seat);
-        let is_succeeded = others.filter(|other| other.counts(self.now)).count() > 1;
-        if !matches!(machine.power, Power::Running(_)) || !(returns || is_succeeded) {
+        let is_replaced = others.filter(|other| other.counts(self.now)).count() > 1;
+        if !matches!(machine.power, Power::Running(_)) || !(returns || is_replaced) {
             if !returns && !self.machines[index].is_gone() {
                 self.add(self.now + 500, Event::Terminate(index, false));
             }
@@ -322,9 +324,9 @@
         self.input(index, Input::Leave);
     }
 
-    /// Ends a machine's process; for good if it is taken away.
+    /// Stops a machine's process, and removes the machine permanently if `for_good` is set.
     pub fn stop(&mut self, index: usize, for_good: bool) {
-        self.checker.look_at(&self.machines[index]);
+        self.checker.record_committed(&self.machines[index]);
         let random = &mut self.random;
         let machine = &mut self.machines[index];
         if matches!(machine.power, Power::Gone) {
@@ -336,12 +338,12 @@
         let (seat, now) = (machine.seat, self.now);
         let seat_is_held = self.machines.iter().any(|other| other.seat == seat && other.counts(now));
         if !seat_is_held {
-            self.checker.seat_lost(seat, now);
-            self.checker.seat_lost_again(seat);
+            self.checker.record_loss(seat, now);
+            self.checker.discard_return(seat);
         }
     }
 
-    /// The disk of a machine that is down is empty; it comes back as another replica at its address.
+    /// Erases the disk of a stopped machine, which then restarts as another replica at the same address.
     pub fn wipe(&mut self, index: usize) {
         let id = self.random.u64(1..1 << 40);
         let machine = &mut self.machines[index];
@@ -352,7 +354,7 @@
         }
     }
 
-    fn succeed(&mut self, seat: usize) {
+    fn start_replacement(&mut self, seat: usize) {
         let zone = self.site.zone_of_each()[seat];
         let index = self.add_machine(seat, zone);
         let up = self.machines.iter().filter(|machine| machine.node().is_some());
@@ -406,7 +408,7 @@
         self.input(index, Input::Peer(frame));
     }
 
-    /// Gives a machine's node an input and carries out all that follows.
+    /// Passes an input to a machine's node and executes the outputs.
     pub fn input(&mut self, index: usize, input: Input) {
         let outputs = match &mut self.machines[index].power {
             Power::Running(node) => node.handle(self.now, input),
@@ -423,11 +425,11 @@
             if machine.life != life || !matches!(machine.power, Power::Running(_)) {
                 return;
             }
-            self.carry_out(index, output);
+            self.execute(index, output);
         }
     }
 
-    fn carry_out(&mut self, index: usize, output: Output) {
+    fn execute(&mut self, index: usize, output: Output) {
         match output {
             Output::Peers(addresses, frame) => {
                 for address in addresses {
@@ -446,12 +448,12 @@
                     return;
                 }
                 match self.operator.answered(id, &answer) {
-                    Learnt::Acknowledged(sent) => {
+                    AnswerOutcome::Acknowledged(sent) => {
                         self.last_acknowledged = self.now;
                         self.checker.acknowledged(sent.base, sent.revision, sent.marker);
-                        crate::faults::strike_after_acknowledgement(self);
+                        crate::faults::inject_after_acknowledgement(self);
                     }
-                    Learnt::Read { revision, marker } if self.judging => {
+                    AnswerOutcome::Read { revision, marker } if self.checks_reads => {
                         self.checker.read_back(revision, marker)
                     }
                     _ => {}
@@ -463,21 +465,21 @@
 
     fn send(&mut self, index: usize, address: String, frame: PeerFrame) {
         if let Some(electorate) = proposed_electorate(&frame) {
-            crate::faults::aim(self, index, &electorate);
+            crate::faults::schedule_at_change(self, index, &electorate);
         }
         if !self.machines[index].can_send(self.now) || self.random.u32(0..100) < self.faults.loss_percent() {
             return;
         }
         let copies = if self.random.u32(0..50) == 0 { 2 } else { 1 };
         for _ in 0..copies {
-            let late = if self.random.u32(0..40) == 0 { 120 } else { 4 };
-            let at = self.now + 1 + self.random.u64(0..late);
+            let jitter_ms = if self.random.u32(0..40) == 0 { 120 } else { 4 };
+            let at = self.now + 1 + self.random.u64(0..jitter_ms);
             self.add(at, Event::Deliver(address.clone(), Box::new(frame.clone())));
         }
     }
 }
 
-/// The electorate of the value that a message asks to accept.
+/// The electorate proposed by an accept message.
 fn proposed_electorate(frame: &PeerFrame) -> Option<Electorate> {
     let Some(PeerBody::Register(envelope)) = &frame.body else { return None };
     match Message::decode(&envelope.message).ok()?.body {
