--- a/crates/control/examples/catch_up_table.rs
+++ b/crates/control/examples/catch_up_table.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/catch_up/mod.rs"]
 mod catch_up;
 
-use catch_up::{run, DiskTrouble, Outcome, Trial};
+use catch_up::{run, DiskFault, Outcome, Trial};
 
 const ROUTES: u64 = 400;
 
@@ -16,7 +16,7 @@
          more order"
     );
     for change_every_ms in [200, 5] {
-        for disk in [DiskTrouble::None, DiskTrouble::Slow(30), DiskTrouble::Stalled(3_000)] {
+        for disk in [DiskFault::None, DiskFault::Slow(30), DiskFault::Stalled(3_000)] {
             for changes in [10, 100, 1_000] {
                 print(Trial { routes: ROUTES, changes, change_every_ms, disk });
             }
--- a/crates/control/tests/catch_up.rs
+++ b/crates/control/tests/catch_up.rs
@@ -3,7 +3,7 @@
 #[path = "catch_up/mod.rs"]
 mod catch_up;
 
-use catch_up::{run, run_absence, Absence, Cut, DiskTrouble, Outcome, Trial};
+use catch_up::{run, run_absence, Absence, Cut, DiskFault, Outcome, Trial};
 use googletest::prelude::*;
 
 /// Routes of the configuration; the example `catch_up_table` uses 400.
@@ -15,14 +15,14 @@
 /// Variation in milliseconds caused by where a concurrent change falls.
 const JITTER_MS: u64 = 600;
 
-fn outcome(changes: u64, disk: DiskTrouble) -> Outcome {
+fn outcome(changes: u64, disk: DiskFault) -> Outcome {
     let trial = Trial { routes: ROUTES, changes, change_every_ms: 200, disk };
     run(trial).unwrap_or_else(|error| panic!("{trial:?}: {error}"))
 }
 
 #[gtest]
 fn the_time_to_catch_up_does_not_grow_with_the_number_of_changes() {
-    for disk in [DiskTrouble::None, DiskTrouble::Slow(30), DiskTrouble::Stalled(3_000)] {
+    for disk in [DiskFault::None, DiskFault::Slow(30), DiskFault::Stalled(3_000)] {
         let few = outcome(5, disk);
         let many = outcome(200, disk);
         println!("{disk:?}: {few:?}\n{many:?}");
--- a/crates/control/tests/catch_up/files.rs
+++ b/crates/control/tests/catch_up/files.rs
@@ -90,9 +90,9 @@
     }
 }
 
-/// Performance of a simulated disk.
+/// Fault of a simulated disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskTrouble {
+pub enum DiskFault {
     /// A sync takes five milliseconds.
     None,
     /// Every operation takes this many times as long.
@@ -107,7 +107,7 @@
     writer: Option<Writer<MemoryFileSystem>>,
     waiting: VecDeque<WriteRequest>,
     writing: bool,
-    trouble: DiskTrouble,
+    fault: DiskFault,
     started_us: u64,
     /// Maximum number of bytes queued at one time.
     pub most_waiting: usize,
@@ -122,7 +122,7 @@
             writer: None,
             waiting: VecDeque::new(),
             writing: false,
-            trouble: DiskTrouble::None,
+            fault: DiskFault::None,
             started_us: 0,
             most_waiting: 0,
             most_used: 0,
@@ -130,14 +130,14 @@
     }
 
     /// Opens the replica file for a new process; returns the stored identity and records.
-    pub fn start(&mut self, now_us: u64, trouble: DiskTrouble, fresh: Identity) -> (Identity, Vec<Vec<u8>>) {
+    pub fn start(&mut self, now_us: u64, fault: DiskFault, fresh: Identity) -> (Identity, Vec<Vec<u8>>) {
         let options = Options { rewrite_above_bytes: REWRITE_ABOVE };
         let stored = open(self.files.clone(), Path::new("/data"), options, || fresh);
         let OpenedReplica { writer, identity, records } = stored.expect("the file opens");
         self.writer = Some(writer);
         self.waiting.clear();
         self.writing = false;
-        self.trouble = trouble;
+        self.fault = fault;
         self.started_us = now_us;
         (identity, records)
     }
@@ -161,10 +161,10 @@
         self.writing = true;
         self.most_used = self.most_used.max(self.files.used());
         let duration = SYNC_US + written as u64 / BYTES_PER_US;
-        let ends_at = match self.trouble {
-            DiskTrouble::None => now_us + duration,
-            DiskTrouble::Slow(times) => now_us + duration * times,
-            DiskTrouble::Stalled(for_ms) => now_us.max(self.started_us + for_ms * 1_000) + duration,
+        let ends_at = match self.fault {
+            DiskFault::None => now_us + duration,
+            DiskFault::Slow(times) => now_us + duration * times,
+            DiskFault::Stalled(for_ms) => now_us.max(self.started_us + for_ms * 1_000) + duration,
         };
         Some((ends_at, inputs))
     }
--- a/crates/control/tests/catch_up/mod.rs
+++ b/crates/control/tests/catch_up/mod.rs
@@ -21,7 +21,7 @@
 use switchhill_replica_file::{Identity, WriteRequest};
 
 use files::Disk;
-pub use files::DiskTrouble;
+pub use files::DiskFault;
 use node_settings::node_settings;
 
 /// Time in microseconds between two ticks of a core node, as in the program.
@@ -91,8 +91,8 @@
     pub changes: u64,
     /// Time in milliseconds between an answer and the next order during catch-up.
     pub change_every_ms: u64,
-    /// Disk performance of the returning member and of the new one.
-    pub disk: DiskTrouble,
+    /// Disk fault of the returning member and of the new one.
+    pub disk: DiskFault,
 }
 
 /// Results of a run. Times are in milliseconds from the start of the late processes.
@@ -130,7 +130,7 @@
     Agent(Box<RelayInput>),
     DataPlane(Downstream),
     OrderTimeout(u64),
-    Operator,
+    SendOrder,
     Poll,
     Watch(usize),
 }
@@ -138,13 +138,13 @@
 struct Core {
     node: Option<ControlNode>,
     replica: ReplicaId,
-    life: u32,
+    incarnation: u32,
     disk: Disk,
     link_free_at: u64,
     processor_free_at: u64,
     revision: u64,
     /// Revision that was acknowledged when this incarnation started or when the last partition ended.
-    must_know: u64,
+    required_revision: u64,
     /// Time at which this incarnation first answered a read with the newest configuration, and first was a voter.
     answered_at: Option<u64>,
     voter_at: Option<u64>,
@@ -154,7 +154,7 @@
 impl Core {
     /// Whether the node lacks a revision that was acknowledged, and so stored by a majority, before it started or returned.
     fn is_behind(&self) -> bool {
-        self.revision < self.must_know
+        self.revision < self.required_revision
     }
 }
 
@@ -202,12 +202,12 @@
         let core = |_| Core {
             node: None,
             replica: ReplicaId(0),
-            life: 0,
+            incarnation: 0,
             disk: Disk::new(),
             link_free_at: 0,
             processor_free_at: 0,
             revision: 0,
-            must_know: 0,
+            required_revision: 0,
             answered_at: None,
             voter_at: None,
             received_bytes: 0,
@@ -236,7 +236,7 @@
             reads: BTreeMap::new(),
             violations: Vec::new(),
         };
-        (0..=AWAY).for_each(|core| world.start(core, DiskTrouble::None));
+        (0..=AWAY).for_each(|core| world.start(core, DiskFault::None));
         world
     }
 
@@ -247,50 +247,50 @@
     }
 
     /// Starts a core machine's process.
-    pub fn start(&mut self, core: usize, trouble: DiskTrouble) {
+    pub fn start(&mut self, core: usize, fault: DiskFault) {
         let is_seed = core < 3;
         let fresh = match is_seed {
             true => Identity { replica: genesis_id(core), genesis: true },
             false => Identity { replica: 2 * core as u64 + 2_000, genesis: false },
         };
         let machine = &mut self.cores[core];
-        machine.life += 1;
-        let (identity, records) = machine.disk.start(self.now, trouble, fresh);
+        machine.incarnation += 1;
+        let (identity, records) = machine.disk.start(self.now, fault, fresh);
         let seeds: Vec<String> = (0..3).map(address).collect();
         let genesis = identity.genesis && records.is_empty();
         let member = |core: usize| Member { id: ReplicaId(genesis_id(core)), address: address(core) };
-        let life = (core as u64 + 1) << 32 | u64::from(machine.life);
+        let incarnation = (core as u64 + 1) << 32 | u64::from(machine.incarnation);
         let settings = NodeSettings {
             node_name: format!("core-{core}"),
             machines_lost: CORE_MACHINES_LOST,
             worker_heartbeat_ms: 1_200,
             ceiling_window_ms: 10_000,
-            ..node_settings(identity.replica, life, address(core), seeds)
+            ..node_settings(identity.replica, incarnation, address(core), seeds)
         };
         let genesis = genesis.then(|| (0..3).map(member).collect());
         machine.node = Some(ControlNode::new(self.now / 1_000, settings, records, genesis));
         machine.replica = ReplicaId(identity.replica);
-        machine.must_know = self.acknowledged;
+        machine.required_revision = self.acknowledged;
         machine.revision = 0;
         machine.answered_at = None;
         machine.voter_at = None;
         machine.received_bytes = 0;
-        let life = machine.life;
-        self.add(self.now, Event::CoreTick(core, life));
+        let incarnation = machine.incarnation;
+        self.add(self.now, Event::CoreTick(core, incarnation));
     }
 
     /// Stops a core machine's process; its disk is kept.
     pub fn stop(&mut self, core: usize) {
         let machine = &mut self.cores[core];
         machine.node = None;
-        machine.life += 1;
+        machine.incarnation += 1;
     }
 
     /// Stops the machine `AWAY`, restarts it after a second and runs for `after_ms`.
     fn restart_away(&mut self, after_ms: u64) {
         self.stop(AWAY);
         self.run_until(self.now_ms() + 1_000, |_| false);
-        self.start(AWAY, DiskTrouble::None);
+        self.start(AWAY, DiskFault::None);
         self.run_until(self.now_ms() + after_ms, |_| false);
     }
 
@@ -302,11 +302,14 @@
     /// Ends all partitions of a machine and delivers the delayed messages that its connections still keep.
     pub fn heal(&mut self, core: usize) {
         self.cuts.retain(|(other, _)| *other != core);
-        self.cores[core].must_know = self.acknowledged;
+        self.cores[core].required_revision = self.acknowledged;
         for (sent_at, to, frame) in std::mem::take(&mut self.delayed) {
             if self.now < sent_at + RETAINED_US && self.cores[to].node.is_some() {
-                let (life, bytes) = (self.cores[to].life, frame.encoded_len());
-                self.add(self.now + DELAY_US, Event::Core(to, life, Box::new(Input::Peer(frame)), bytes));
+                let (incarnation, bytes) = (self.cores[to].incarnation, frame.encoded_len());
+                self.add(
+                    self.now + DELAY_US,
+                    Event::Core(to, incarnation, Box::new(Input::Peer(frame)), bytes),
+                );
             }
         }
     }
@@ -342,16 +345,16 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::CoreTick(core, life) if self.is_current(core, life) => {
-                self.add(self.now + CORE_TICK_US, Event::CoreTick(core, life));
-                self.core_input(core, life, Input::Tick, 0);
+            Event::CoreTick(core, incarnation) if self.is_current(core, incarnation) => {
+                self.add(self.now + CORE_TICK_US, Event::CoreTick(core, incarnation));
+                self.core_input(core, incarnation, Input::Tick, 0);
             }
-            Event::Core(core, life, input, bytes) if self.is_current(core, life) => {
-                self.core_input(core, life, *input, bytes);
+            Event::Core(core, incarnation, input, bytes) if self.is_current(core, incarnation) => {
+                self.core_input(core, incarnation, *input, bytes);
             }
-            Event::WriteCompleted(core, life, inputs) if self.is_current(core, life) => {
+            Event::WriteCompleted(core, incarnation, inputs) if self.is_current(core, incarnation) => {
                 self.cores[core].disk.ended();
-                inputs.into_iter().for_each(|input| self.core_input(core, life, input, 0));
+                inputs.into_iter().for_each(|input| self.core_input(core, incarnation, input, 0));
                 self.write(core);
             }
             Event::AgentTick => {
@@ -361,24 +364,24 @@
             Event::Agent(input) => self.agent_input(*input),
             Event::DataPlane(message) => self.data_plane_message(message),
             Event::OrderTimeout(asked) if asked == self.asked => self.send_order(),
-            Event::Operator => self.send_order(),
+            Event::SendOrder => self.send_order(),
             Event::Poll => self.poll(),
             Event::Watch(core) => self.watch(core),
             _ => {}
         }
     }
 
-    fn is_current(&self, core: usize, life: u32) -> bool {
-        self.cores[core].life == life && self.cores[core].node.is_some()
+    fn is_current(&self, core: usize, incarnation: u32) -> bool {
+        self.cores[core].incarnation == incarnation && self.cores[core].node.is_some()
     }
 
     /// Passes an input to a core node once its processor is free; ticks are skipped while it is busy.
-    fn core_input(&mut self, core: usize, life: u32, input: Input, bytes: usize) {
+    fn core_input(&mut self, core: usize, incarnation: u32, input: Input, bytes: usize) {
         let machine = &mut self.cores[core];
         if machine.processor_free_at > self.now {
             let at = machine.processor_free_at;
             if !matches!(input, Input::Tick) {
-                self.add(at, Event::Core(core, life, Box::new(input), bytes));
+                self.add(at, Event::Core(core, incarnation, Box::new(input), bytes));
             }
             return;
         }
@@ -426,9 +429,9 @@
 
     fn write(&mut self, core: usize) {
         let machine = &mut self.cores[core];
-        let life = machine.life;
+        let incarnation = machine.incarnation;
         if let Some((ends_at, inputs)) = machine.disk.begin(self.now) {
-            self.add(ends_at, Event::WriteCompleted(core, life, inputs));
+            self.add(ends_at, Event::WriteCompleted(core, incarnation, inputs));
         }
     }
 
@@ -451,11 +454,11 @@
             return;
         }
         let at = self.arrival(from, bytes);
-        let life = self.cores[to].life;
+        let incarnation = self.cores[to].incarnation;
         if self.cores[to].answered_at.is_none() {
             self.cores[to].received_bytes += bytes;
         }
-        self.add(at, Event::Core(to, life, Box::new(Input::Peer(frame)), bytes));
+        self.add(at, Event::Core(to, incarnation, Box::new(Input::Peer(frame)), bytes));
     }
 
     fn check_register_message(&mut self, from: usize, frame: &PeerFrame) {
@@ -490,7 +493,7 @@
     }
 
     fn check_status(&mut self, core: usize, status: &Status) {
-        let known = self.cores[core].must_know;
+        let known = self.cores[core].required_revision;
         if status.quorum && status.revision < known {
             let (at, reported) = (self.now / 1_000, status.revision);
             self.violations.push(format!(
@@ -505,8 +508,8 @@
         let message = Upstream { body: Some(UpstreamBody::Hello(hello)) };
         self.watchers += 1;
         let input = Input::Subscriber(SubscriberId(WATCHERS + self.watchers), message);
-        let life = self.cores[core].life;
-        self.add(self.now, Event::Core(core, life, Box::new(input), 0));
+        let incarnation = self.cores[core].incarnation;
+        self.add(self.now, Event::Core(core, incarnation, Box::new(input), 0));
         self.add(self.now + WATCH_US, Event::Watch(core));
     }
 
@@ -539,10 +542,10 @@
 
     fn send_core(&mut self, id: LinkId, message: Upstream) {
         let Some(core) = self.agent_links.get(&id).copied() else { return };
-        let life = self.cores[core].life;
+        let incarnation = self.cores[core].incarnation;
         let bytes = message.encoded_len();
         let input = Input::Subscriber(SubscriberId(id.0), message);
-        self.add(self.now + DELAY_US, Event::Core(core, life, Box::new(input), bytes));
+        self.add(self.now + DELAY_US, Event::Core(core, incarnation, Box::new(input), bytes));
     }
 
     fn data_plane_message(&mut self, message: Downstream) {
@@ -566,9 +569,9 @@
             base => documents::change(self.routes, base),
         };
         let (core, asked) = (self.asked_core, self.asked);
-        let (life, bytes) = (self.cores[core].life, order.body.len());
+        let (incarnation, bytes) = (self.cores[core].incarnation, order.body.len());
         let input = Input::Call(CallId(asked), Call::Change(order));
-        self.add(self.now + DELAY_US, Event::Core(core, life, Box::new(input), bytes));
+        self.add(self.now + DELAY_US, Event::Core(core, incarnation, Box::new(input), bytes));
         self.add(self.now + ORDER_TIMEOUT_US, Event::OrderTimeout(asked));
     }
 
@@ -579,7 +582,7 @@
                 self.acknowledged += 1;
             }
             let pause = if answer.status == 200 { self.change_every } else { 20_000 };
-            self.add(self.now + pause, Event::Operator);
+            self.add(self.now + pause, Event::SendOrder);
             return;
         }
         let Some((asked, acknowledged)) = self.reads.remove(&id.0) else { return };
@@ -604,11 +607,11 @@
             if machine.node.is_none() || machine.answered_at.is_some() {
                 continue;
             }
-            let life = machine.life;
+            let incarnation = machine.incarnation;
             self.next_call += 1;
             self.reads.insert(self.next_call, (core, self.acknowledged));
             let input = Input::Call(CallId(self.next_call), Call::Read);
-            self.add(self.now, Event::Core(core, life, Box::new(input), 0));
+            self.add(self.now, Event::Core(core, incarnation, Box::new(input), 0));
         }
     }
 
@@ -616,12 +619,12 @@
     pub fn change_every(&mut self, ms: u64) {
         self.change_every = ms * 1_000;
         if self.acknowledged == 0 {
-            self.add(self.now, Event::Operator);
+            self.add(self.now, Event::SendOrder);
         }
     }
 
     /// Starts the late processes: the returning member, an empty one, an agent and its data plane.
-    pub fn start_late(&mut self, disk: DiskTrouble) {
+    pub fn start_late(&mut self, disk: DiskFault) {
         self.started_late_at = self.now;
         self.start(AWAY, disk);
         self.start(EMPTY, disk);
--- a/crates/control/tests/electorate/checker.rs
+++ b/crates/control/tests/electorate/checker.rs
@@ -53,10 +53,10 @@
 
 /// Returns the seats that count as lost now.
 pub fn lost_now(site: &Site, machines: &[Machine], now: u64) -> Lost {
-    let there = machines.iter().filter(|machine| !machine.is_gone());
+    let there = machines.iter().filter(|machine| !machine.is_removed());
     let held: BTreeSet<usize> = there.clone().map(|machine| machine.seat).collect();
     let mut seats: Vec<usize> =
-        there.filter(|machine| !machine.counts(now)).map(|machine| machine.seat).collect();
+        there.filter(|machine| !machine.is_available(now)).map(|machine| machine.seat).collect();
     seats.extend((0..site.machines()).filter(|seat| !held.contains(seat)));
     Lost { seats }
 }
@@ -87,10 +87,10 @@
             println!("{now} exposed: lost {lost:?}, {electorate:?}");
             for machine in machines {
                 println!(
-                    "  seat {} {:x} counts {} power {}",
+                    "  seat {} {:x} available {} running {}",
                     machine.seat,
                     machine.replica,
-                    machine.counts(now),
+                    machine.is_available(now),
                     machine.node().is_some()
                 );
             }
@@ -210,7 +210,7 @@
     lost: &Lost,
     now: u64,
 ) -> bool {
-    let available: Vec<&Machine> = machines.iter().filter(|machine| machine.counts(now)).collect();
+    let available: Vec<&Machine> = machines.iter().filter(|machine| machine.is_available(now)).collect();
     let further = site.machines_lost.saturating_sub(lost.seats.len());
     let machine_losses_tolerated = lost.seats.len() > site.machines_lost || {
         let remains = |members: &[Member]| {
@@ -226,9 +226,10 @@
     if site.zones_lost == 0 {
         return true;
     }
-    let hit = affected_zones(site, lost);
+    let affected = affected_zones(site, lost);
     // Only one zone is lost at a time, so another zone may be lost only while none is affected.
-    let may_be_lost = (0..site.zones.len()).filter(|zone| hit.is_empty() || hit == BTreeSet::from([*zone]));
+    let may_be_lost =
+        (0..site.zones.len()).filter(|zone| affected.is_empty() || affected == BTreeSet::from([*zone]));
     let remains = |members: &[Member], zone: usize| {
         let left = available.iter().filter(|machine| machine.zone != zone);
         let votes = left.filter(|machine| has(members, machine.replica)).count();
--- a/crates/control/tests/electorate/faults.rs
+++ b/crates/control/tests/electorate/faults.rs
@@ -1,7 +1,7 @@
 //! Injects faults as soon as they must be tolerated, or at the first message of an electorate change.
 
 use crate::checker::lost_now;
-use crate::machine::Power;
+use crate::machine::ProcessState;
 use crate::world::{Event, World};
 use std::collections::{BTreeMap, BTreeSet};
 use switchhill_register::Electorate;
@@ -22,13 +22,13 @@
     /// The process is asked to terminate and restarts with its disk.
     Restart,
     /// The machine is partitioned: both ways, receiving nothing, or sending nothing.
-    Cut,
-    Deafen,
-    Silence,
+    Partition,
+    BlockInbound,
+    BlockOutbound,
     Freeze,
     StallDisk,
     /// A whole zone is partitioned, or all its processes are killed.
-    CutZone,
+    PartitionZone,
     KillZone,
     /// The process that sends the first message of the next change is killed.
     KillDriver,
@@ -47,12 +47,12 @@
     Fault::Replace,
     Fault::PlannedReplace,
     Fault::Restart,
-    Fault::Cut,
-    Fault::Deafen,
-    Fault::Silence,
+    Fault::Partition,
+    Fault::BlockInbound,
+    Fault::BlockOutbound,
     Fault::Freeze,
     Fault::StallDisk,
-    Fault::CutZone,
+    Fault::PartitionZone,
     Fault::KillZone,
     Fault::KillDriver,
     Fault::KillMajority,
@@ -113,7 +113,7 @@
     world.add(at, Event::Fault);
 }
 
-/// Injects a fault; returns false if it is not tolerated now.
+/// Injects or schedules a fault; returns false if it is not tolerated now.
 pub fn inject(world: &mut World, fault: Fault) -> bool {
     match fault {
         Fault::KillAll => {
@@ -128,7 +128,7 @@
             world.faults.at_next_change = Some(fault);
             true
         }
-        Fault::CutZone | Fault::KillZone => inject_into_zone(world, fault),
+        Fault::PartitionZone | Fault::KillZone => inject_into_zone(world, fault),
         _ => match tolerated_machine(world, fault) {
             Some(index) => {
                 inject_into_machine(world, fault, index);
@@ -145,8 +145,8 @@
     let mut lost = lost_now(&world.site, &world.machines, now);
     let counting = (0..world.machines.len()).filter(|index| {
         let machine = &world.machines[*index];
-        let of_seat = world.machines.iter().filter(|other| other.seat == machine.seat && !other.is_gone());
-        machine.counts(now) && machine.leaving_since.is_none() && of_seat.count() == 1
+        let of_seat = world.machines.iter().filter(|other| other.seat == machine.seat && !other.is_removed());
+        machine.is_available(now) && machine.terminating_since.is_none() && of_seat.count() == 1
     });
     let counting: Vec<usize> = counting.collect();
     let index = match fault {
@@ -182,14 +182,14 @@
             world.add(at, Event::Terminate(index, false));
         }
         Fault::Restart => world.add(now, Event::Terminate(index, true)),
-        Fault::Cut => world.machines[index].cut_until = until,
-        Fault::Deafen => world.machines[index].deaf_until = until,
-        Fault::Silence => world.machines[index].mute_until = until,
+        Fault::Partition => world.machines[index].partitioned_until = until,
+        Fault::BlockInbound => world.machines[index].inbound_blocked_until = until,
+        Fault::BlockOutbound => world.machines[index].outbound_blocked_until = until,
         Fault::Freeze => world.freeze(index, until),
         Fault::StallDisk => world.machines[index].disk.stalled_until = until,
         _ => {}
     }
-    world.machines[index].note_state(now);
+    world.machines[index].update_health(now);
 }
 
 fn restart_after(world: &mut World, index: usize, longest: u64) {
@@ -210,10 +210,10 @@
     let of_zone = (0..world.machines.len()).filter(|index| world.machines[*index].zone == zone);
     for index in of_zone.collect::<Vec<usize>>() {
         match fault {
-            Fault::CutZone => world.machines[index].cut_until = until,
+            Fault::PartitionZone => world.machines[index].partitioned_until = until,
             _ => restart_after(world, index, 6_000),
         }
-        world.machines[index].note_state(world.now);
+        world.machines[index].update_health(world.now);
     }
     true
 }
@@ -233,7 +233,7 @@
     }
     world.faults.after_acknowledgement = false;
     kill_all(world);
-    let there = (0..world.machines.len()).filter(|index| !world.machines[*index].is_gone());
+    let there = (0..world.machines.len()).filter(|index| !world.machines[*index].is_removed());
     let mut there: Vec<usize> = there.collect();
     world.random.shuffle(&mut there);
     for index in there.into_iter().take(world.site.machines_lost) {
@@ -267,7 +267,7 @@
     }
     let mut lost = lost_now(&world.site, &world.machines, world.now);
     lost.seats.push(world.machines[sender].seat);
-    let runs = matches!(world.machines[sender].power, Power::Running(_));
+    let runs = matches!(world.machines[sender].process, ProcessState::Running(_));
     if runs && lost.seats.len() <= world.site.machines_lost {
         inject_into_machine(world, fault, sender);
     }
--- a/crates/control/tests/electorate/first_in_order.rs
+++ b/crates/control/tests/electorate/first_in_order.rs
@@ -1,7 +1,7 @@
 //! If the first member in the agreed order can't change the electorate, the next capable member does.
 
 use crate::checker::Figures;
-use crate::machine::{Power, CATCH_UP_MS};
+use crate::machine::{ProcessState, CATCH_UP_MS};
 use crate::site::Site;
 use crate::world::{Event, World};
 use crate::{MAX_BACK_TO_FULL_MS, SITES};
@@ -33,7 +33,7 @@
     /// Its disk stalls, and a restarted member proposes ballots above its reservation.
     OutrunOnStalledDisk,
     /// Its messages arrive, but it receives none.
-    Deaf,
+    InboundBlocked,
 }
 
 /// Indices of the machines in the agreed order.
@@ -57,7 +57,7 @@
             world.stop(order[1], false);
             world.add(world.now + 100, Event::Start(order[1]));
         }
-        FirstMemberFault::Deaf => world.machines[order[0]].deaf_until = until,
+        FirstMemberFault::InboundBlocked => world.machines[order[0]].inbound_blocked_until = until,
     }
 }
 
@@ -98,10 +98,10 @@
 fn expect_another_member_leads(fault: FirstMemberFault) {
     for site in SITES.into_iter().filter(|site| site.machines_lost > 1) {
         let result = run(1, site, fault);
-        let what = format!("{site:?}, {fault:?}");
-        expect_that!(result.violations, is_empty(), "{what}");
-        expect_that!(result.figures.longest_exposed, eq(0), "{what}");
-        expect_that!(result.voters_up, ge(2 * site.machines_lost), "{what}");
+        let context = format!("{site:?}, {fault:?}");
+        expect_that!(result.violations, is_empty(), "{context}");
+        expect_that!(result.figures.longest_exposed, eq(0), "{context}");
+        expect_that!(result.voters_up, ge(2 * site.machines_lost), "{context}");
     }
 }
 
@@ -117,7 +117,7 @@
 
 #[gtest]
 fn a_member_that_receives_nothing_is_passed_over() {
-    expect_another_member_leads(FirstMemberFault::Deaf);
+    expect_another_member_leads(FirstMemberFault::InboundBlocked);
 }
 
 /// The change that removes the terminating first member must be made by another member.
@@ -131,7 +131,7 @@
         world.run_until(world.now + CATCH_UP_MS + 50);
         world.add(world.now, Event::Terminate(first, false));
         world.run_until(world.now + MAX_EXIT_MS);
-        expect_true!(matches!(world.machines[first].power, Power::Gone), "{site:?}");
+        expect_true!(matches!(world.machines[first].process, ProcessState::Removed), "{site:?}");
         let (figures, violations) = world.finish(AFTER_MS);
         expect_that!(violations, is_empty(), "{site:?}");
         expect_that!(figures.longest_exposed, eq(0), "{site:?}");
--- a/crates/control/tests/electorate/machine.rs
+++ b/crates/control/tests/electorate/machine.rs
@@ -42,13 +42,13 @@
 }
 
 /// State of a machine's process.
-pub enum Power {
+pub enum ProcessState {
     Running(Box<ControlNode>),
     /// The process is suspended; its inputs are queued.
     Frozen(Box<ControlNode>, Vec<Input>),
     Down,
     /// The machine is permanently removed.
-    Gone,
+    Removed,
 }
 
 /// A simulated core machine.
@@ -60,63 +60,68 @@
     pub replica: u64,
     /// Whether the replica belongs to the first electorate.
     pub genesis: bool,
-    pub power: Power,
+    pub process: ProcessState,
     pub disk: Disk,
     /// Incarnation number of the process; events of earlier incarnations are ignored.
-    pub life: u64,
+    pub incarnation: u64,
     /// Time until which no messages are sent or received.
-    pub cut_until: u64,
+    pub partitioned_until: u64,
     /// Time until which received messages are lost.
-    pub deaf_until: u64,
+    pub inbound_blocked_until: u64,
     /// Time until which sent messages are lost.
-    pub mute_until: u64,
+    pub outbound_blocked_until: u64,
     /// Time since which the machine has run without a fault.
-    pub well_since: Option<u64>,
+    pub healthy_since: Option<u64>,
     /// Time at which the process was asked to terminate.
-    pub leaving_since: Option<u64>,
+    pub terminating_since: Option<u64>,
     /// Whether the process was asked to terminate and will restart; it is treated as down.
-    pub is_to_return: bool,
+    pub will_restart: bool,
 }
 
 impl Machine {
     pub fn node(&self) -> Option<&ControlNode> {
-        match &self.power {
-            Power::Running(node) => Some(node),
+        match &self.process {
+            ProcessState::Running(node) => Some(node),
             _ => None,
         }
     }
 
     pub fn is_faulty(&self, now: u64) -> bool {
-        let links = [self.cut_until, self.deaf_until, self.mute_until, self.disk.stalled_until];
-        !matches!(self.power, Power::Running(_))
-            || self.is_to_return
+        let links = [
+            self.partitioned_until,
+            self.inbound_blocked_until,
+            self.outbound_blocked_until,
+            self.disk.stalled_until,
+        ];
+        !matches!(self.process, ProcessState::Running(_))
+            || self.will_restart
             || links.iter().any(|until| now < *until)
     }
 
     /// Updates the time since which the machine has run without a fault.
-    pub fn note_state(&mut self, now: u64) {
+    pub fn update_health(&mut self, now: u64) {
         if self.is_faulty(now) {
-            self.well_since = None;
+            self.healthy_since = None;
         } else {
-            self.well_since.get_or_insert(now);
+            self.healthy_since.get_or_insert(now);
         }
     }
 
     /// Whether the machine has run without a fault for long enough to count as available. A machine asked to terminate
     /// still counts, because it exits only once the electorate can do without it.
-    pub fn counts(&self, now: u64) -> bool {
-        self.well_since.is_some_and(|since| now >= since + CATCH_UP_MS)
+    pub fn is_available(&self, now: u64) -> bool {
+        self.healthy_since.is_some_and(|since| now >= since + CATCH_UP_MS)
     }
 
-    pub fn is_gone(&self) -> bool {
-        matches!(self.power, Power::Gone)
+    pub fn is_removed(&self) -> bool {
+        matches!(self.process, ProcessState::Removed)
     }
 
     pub fn can_send(&self, now: u64) -> bool {
-        now >= self.cut_until && now >= self.mute_until
+        now >= self.partitioned_until && now >= self.outbound_blocked_until
     }
 
     pub fn can_receive(&self, now: u64) -> bool {
-        now >= self.cut_until && now >= self.deaf_until
+        now >= self.partitioned_until && now >= self.inbound_blocked_until
     }
 }
--- a/crates/control/tests/electorate/operator.rs
+++ b/crates/control/tests/electorate/operator.rs
@@ -14,21 +14,21 @@
 
 /// A sent order, with the marker that identifies it when it is read back.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentOrder {
     pub base: u64,
     pub revision: u64,
     pub marker: u64,
 }
 
-enum Open {
-    Change(Sent),
+enum PendingCall {
+    Change(SentOrder),
     Read,
 }
 
 /// The operator's pending calls and the newest known revision.
 #[derive(Default)]
 pub struct Operator {
-    open: BTreeMap<CallId, (u64, Open)>,
+    pending: BTreeMap<CallId, (u64, PendingCall)>,
     pub revision: u64,
     must_read: bool,
     next_call: u64,
@@ -36,7 +36,7 @@
 
 /// Result of processing an answer.
 pub enum AnswerOutcome {
-    Acknowledged(Sent),
+    Acknowledged(SentOrder),
     Read { revision: u64, marker: u64 },
     Nothing,
 }
@@ -49,49 +49,49 @@
         }
         self.next_call += 1;
         let id = CallId(self.next_call);
-        let sent = Sent { base: self.revision, revision: self.revision + 1, marker: self.next_call };
+        let sent = SentOrder { base: self.revision, revision: self.revision + 1, marker: self.next_call };
         let body = format!(
             "{{\"revision\":{},\"routes\":[],\"services\":[],\"limits\":{{}},\"marker\":{}}}",
             sent.revision, sent.marker
         );
         let order = Order { kind: OrderKind::Replace, base_version: sent.base, body: Bytes::from(body) };
-        self.open.insert(id, (now, Open::Change(sent)));
+        self.pending.insert(id, (now, PendingCall::Change(sent)));
         (id, Call::Change(order))
     }
 
     pub fn read(&mut self, now: u64) -> (CallId, Call) {
         self.next_call += 1;
         let id = CallId(self.next_call);
-        self.open.insert(id, (now, Open::Read));
+        self.pending.insert(id, (now, PendingCall::Read));
         (id, Call::Read)
     }
 
     fn expire_calls(&mut self, now: u64) {
-        let before = self.open.len();
-        self.open.retain(|_, (since, _)| now < *since + CALL_TIMEOUT_MS);
+        let before = self.pending.len();
+        self.pending.retain(|_, (since, _)| now < *since + CALL_TIMEOUT_MS);
         // The outcome of an expired change is unknown, so the next change must be based on a read.
-        self.must_read |= self.open.len() < before;
+        self.must_read |= self.pending.len() < before;
     }
 
     pub fn answered(&mut self, id: CallId, answer: &Answer) -> AnswerOutcome {
-        let Some((_, open)) = self.open.remove(&id) else { return AnswerOutcome::Nothing };
-        match open {
-            Open::Change(sent) if answer.status == 200 => {
+        let Some((_, pending)) = self.pending.remove(&id) else { return AnswerOutcome::Nothing };
+        match pending {
+            PendingCall::Change(sent) if answer.status == 200 => {
                 self.revision = self.revision.max(sent.revision);
                 AnswerOutcome::Acknowledged(sent)
             }
-            Open::Change(_) => {
+            PendingCall::Change(_) => {
                 self.must_read = true;
                 AnswerOutcome::Nothing
             }
-            Open::Read if answer.status == 200 => {
+            PendingCall::Read if answer.status == 200 => {
                 let revision = number_after(&answer.body, "\"revision\":");
                 let marker = number_after(&answer.body, "\"marker\":");
                 self.must_read = false;
                 self.revision = self.revision.max(revision);
                 AnswerOutcome::Read { revision, marker }
             }
-            Open::Read => {
+            PendingCall::Read => {
                 self.must_read &= number_after(&answer.body, "\"code\":") != NO_CONFIGURATION;
                 AnswerOutcome::Nothing
             }
--- a/crates/control/tests/electorate/world.rs
+++ b/crates/control/tests/electorate/world.rs
@@ -2,7 +2,7 @@
 
 use crate::checker::{is_tolerated, lost_now, Checker, Figures};
 use crate::faults::{Fault, Faults};
-use crate::machine::{Disk, Machine, Power};
+use crate::machine::{Disk, Machine, ProcessState};
 use crate::node_settings::node_settings;
 use crate::operator::{AnswerOutcome, Operator};
 use crate::site::{Flaw, Site};
@@ -118,15 +118,15 @@
             address,
             replica,
             genesis: false,
-            power: Power::Down,
+            process: ProcessState::Down,
             disk: Disk::default(),
-            life: 0,
-            cut_until: 0,
-            deaf_until: 0,
-            mute_until: 0,
-            well_since: None,
-            leaving_since: None,
-            is_to_return: false,
+            incarnation: 0,
+            partitioned_until: 0,
+            inbound_blocked_until: 0,
+            outbound_blocked_until: 0,
+            healthy_since: None,
+            terminating_since: None,
+            will_restart: false,
         });
         self.machines.len() - 1
     }
@@ -196,9 +196,9 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Tick(index, life) => self.tick(index, life),
+            Event::Tick(index, incarnation) => self.tick(index, incarnation),
             Event::Deliver(address, frame) => self.deliver(&address, *frame),
-            Event::Synced(index, life) => self.synced(index, life),
+            Event::Synced(index, incarnation) => self.synced(index, incarnation),
             Event::Start(index) => self.start(index),
             Event::Thaw(index) => self.thaw(index),
             Event::Operate => self.operate(),
@@ -206,7 +206,7 @@
             Event::Fault => crate::faults::inject_next(self),
             Event::FaultDuringChange(fault, index) => crate::faults::inject_during_change(self, fault, index),
             Event::StartReplacement(seat) => self.start_replacement(seat),
-            Event::Terminate(index, returns) => self.terminate(index, returns),
+            Event::Terminate(index, restarts) => self.terminate(index, restarts),
         }
     }
 
@@ -214,7 +214,7 @@
         self.add(self.now + CHECK_MS, Event::Check);
         let now = self.now;
         for machine in &mut self.machines {
-            machine.note_state(now);
+            machine.update_health(now);
         }
         self.checker.check(now, &self.site, &self.machines);
         let lost = lost_now(&self.site, &self.machines, now);
@@ -241,11 +241,11 @@
 
     /// Starts a machine's process from the records on its disk.
     fn start(&mut self, index: usize) {
-        if !matches!(self.machines[index].power, Power::Down) {
+        if !matches!(self.machines[index].process, ProcessState::Down) {
             return;
         }
-        let life = self.random.u64(..);
-        let settings = self.settings(index, life);
+        let incarnation = self.random.u64(..);
+        let settings = self.settings(index, incarnation);
         let machine = &mut self.machines[index];
         let records = machine.disk.synced.clone();
         let first = machine.genesis && records.is_empty();
@@ -255,16 +255,17 @@
             members.map(member).collect()
         });
         let machine = &mut self.machines[index];
-        machine.power = Power::Running(Box::new(ControlNode::new(self.now, settings, records, genesis)));
-        machine.life += 1;
-        machine.leaving_since = None;
-        machine.is_to_return = false;
-        let (seat, life) = (machine.seat, machine.life);
+        machine.process =
+            ProcessState::Running(Box::new(ControlNode::new(self.now, settings, records, genesis)));
+        machine.incarnation += 1;
+        machine.terminating_since = None;
+        machine.will_restart = false;
+        let (seat, incarnation) = (machine.seat, machine.incarnation);
         self.checker.record_return(seat, self.now);
-        self.add(self.now, Event::Tick(index, life));
+        self.add(self.now, Event::Tick(index, incarnation));
     }
 
-    fn settings(&self, index: usize, life: u64) -> NodeSettings {
+    fn settings(&self, index: usize, incarnation: u64) -> NodeSettings {
         let machine = &self.machines[index];
         let removes_below_quorum = self.flaw == Some(Flaw::DropsBelowQuorum);
         let ignores_zones = self.flaw == Some(Flaw::IgnoresZones);
@@ -275,18 +276,18 @@
             zones_lost: if ignores_zones { 0 } else { self.site.zones_lost },
             worker_heartbeat_ms: 1_200,
             lease_ms: 3_000,
-            ..node_settings(machine.replica, life, machine.address.clone(), self.seeds.clone())
+            ..node_settings(machine.replica, incarnation, machine.address.clone(), self.seeds.clone())
         }
     }
 
-    fn tick(&mut self, index: usize, life: u64) {
-        if self.machines[index].life != life
-            || matches!(self.machines[index].power, Power::Down | Power::Gone)
+    fn tick(&mut self, index: usize, incarnation: u64) {
+        if self.machines[index].incarnation != incarnation
+            || matches!(self.machines[index].process, ProcessState::Down | ProcessState::Removed)
         {
             return;
         }
-        self.add(self.now + TICK_MS, Event::Tick(index, life));
-        if matches!(self.machines[index].power, Power::Running(_)) {
+        self.add(self.now + TICK_MS, Event::Tick(index, incarnation));
+        if matches!(self.machines[index].process, ProcessState::Running(_)) {
             self.input(index, Input::Tick);
         }
         self.exit_if_allowed(index);
@@ -294,49 +295,49 @@
 
     fn exit_if_allowed(&mut self, index: usize) {
         let machine = &self.machines[index];
-        let (Some(since), Some(node)) = (machine.leaving_since, machine.node()) else { return };
+        let (Some(since), Some(node)) = (machine.terminating_since, machine.node()) else { return };
         let at_once = self.flaw == Some(Flaw::LeavesAtOnce);
         if at_once || self.now >= since + MAX_LEAVE_MS || node.may_leave(self.now) {
-            let returns = self.faults.returning.remove(&index);
-            self.stop(index, returns.is_none());
-            if let Some(pause) = returns {
+            let restart_delay = self.faults.returning.remove(&index);
+            self.stop(index, restart_delay.is_none());
+            if let Some(pause) = restart_delay {
                 self.add(self.now + pause, Event::Start(index));
             }
         }
     }
 
-    fn terminate(&mut self, index: usize, returns: bool) {
+    fn terminate(&mut self, index: usize, restarts: bool) {
         let machine = &self.machines[index];
         let others = self.machines.iter().filter(|other| other.seat == machine.seat);
-        let is_replaced = others.filter(|other| other.counts(self.now)).count() > 1;
-        if !matches!(machine.power, Power::Running(_)) || !(returns || is_replaced) {
-            if !returns && !self.machines[index].is_gone() {
+        let is_replaced = others.filter(|other| other.is_available(self.now)).count() > 1;
+        if !matches!(machine.process, ProcessState::Running(_)) || !(restarts || is_replaced) {
+            if !restarts && !self.machines[index].is_removed() {
                 self.add(self.now + 500, Event::Terminate(index, false));
             }
             return;
         }
-        if returns {
+        if restarts {
             let pause = self.random.u64(200..1_500);
             self.faults.returning.insert(index, pause);
-            self.machines[index].is_to_return = true;
+            self.machines[index].will_restart = true;
         }
-        self.machines[index].leaving_since.get_or_insert(self.now);
+        self.machines[index].terminating_since.get_or_insert(self.now);
         self.input(index, Input::Leave);
     }
 
-    /// Stops a machine's process, and removes the machine permanently if `for_good` is set.
-    pub fn stop(&mut self, index: usize, for_good: bool) {
+    /// Stops a machine's process, permanently if the machine is removed.
+    pub fn stop(&mut self, index: usize, permanently: bool) {
         self.checker.record_committed(&self.machines[index]);
         let random = &mut self.random;
         let machine = &mut self.machines[index];
-        if matches!(machine.power, Power::Gone) {
+        if matches!(machine.process, ProcessState::Removed) {
             return;
         }
         machine.disk.crash(random);
-        machine.power = if for_good { Power::Gone } else { Power::Down };
-        machine.well_since = None;
+        machine.process = if permanently { ProcessState::Removed } else { ProcessState::Down };
+        machine.healthy_since = None;
         let (seat, now) = (machine.seat, self.now);
-        let seat_is_held = self.machines.iter().any(|other| other.seat == seat && other.counts(now));
+        let seat_is_held = self.machines.iter().any(|other| other.seat == seat && other.is_available(now));
         if !seat_is_held {
             self.checker.record_loss(seat, now);
             self.checker.discard_return(seat);
@@ -368,33 +369,33 @@
 
     pub fn freeze(&mut self, index: usize, until: u64) {
         let machine = &mut self.machines[index];
-        if let Power::Running(node) = std::mem::replace(&mut machine.power, Power::Down) {
-            machine.power = Power::Frozen(node, Vec::new());
-            machine.well_since = None;
+        if let ProcessState::Running(node) = std::mem::replace(&mut machine.process, ProcessState::Down) {
+            machine.process = ProcessState::Frozen(node, Vec::new());
+            machine.healthy_since = None;
             self.add(until, Event::Thaw(index));
         }
     }
 
     fn thaw(&mut self, index: usize) {
         let machine = &mut self.machines[index];
-        match std::mem::replace(&mut machine.power, Power::Down) {
-            Power::Frozen(node, inputs) => {
-                machine.power = Power::Running(node);
+        match std::mem::replace(&mut machine.process, ProcessState::Down) {
+            ProcessState::Frozen(node, inputs) => {
+                machine.process = ProcessState::Running(node);
                 for input in inputs {
                     self.input(index, input);
                 }
             }
-            other => machine.power = other,
+            other => machine.process = other,
         }
     }
 
-    fn synced(&mut self, index: usize, life: u64) {
-        if self.machines[index].life != life {
+    fn synced(&mut self, index: usize, incarnation: u64) {
+        if self.machines[index].incarnation != incarnation {
             return;
         }
         let stalled_until = self.machines[index].disk.stalled_until;
         if self.now < stalled_until {
-            self.add(stalled_until, Event::Synced(index, life));
+            self.add(stalled_until, Event::Synced(index, incarnation));
         } else if let Some(token) = self.machines[index].disk.advance(self.now) {
             self.input(index, Input::Persisted(token));
         }
@@ -410,19 +411,19 @@
 
     /// Passes an input to a machine's node and executes the outputs.
     pub fn input(&mut self, index: usize, input: Input) {
-        let outputs = match &mut self.machines[index].power {
-            Power::Running(node) => node.handle(self.now, input),
-            Power::Frozen(_, waiting) => {
+        let outputs = match &mut self.machines[index].process {
+            ProcessState::Running(node) => node.handle(self.now, input),
+            ProcessState::Frozen(_, waiting) => {
                 waiting.push(input);
                 return;
             }
-            Power::Down | Power::Gone => return,
+            ProcessState::Down | ProcessState::Removed => return,
         };
         let mut outputs = VecDeque::from(outputs);
-        let life = self.machines[index].life;
+        let incarnation = self.machines[index].incarnation;
         while let Some(output) = outputs.pop_front() {
             let machine = &self.machines[index];
-            if machine.life != life || !matches!(machine.power, Power::Running(_)) {
+            if machine.incarnation != incarnation || !matches!(machine.process, ProcessState::Running(_)) {
                 return;
             }
             self.execute(index, output);
@@ -440,8 +441,8 @@
                 let due = self.now + SYNC_MS + self.random.u64(0..4);
                 let machine = &mut self.machines[index];
                 machine.disk.pending.push_back((due, token, record));
-                let life = machine.life;
-                self.add(due + 4, Event::Synced(index, life));
+                let incarnation = machine.incarnation;
+                self.add(due + 4, Event::Synced(index, incarnation));
             }
             Output::Answer(id, answer) => {
                 if !self.machines[index].can_send(self.now) {
