--- a/crates/control/tests/electorate/faults.rs
+++ b/crates/control/tests/electorate/faults.rs
@@ -1,7 +1,7 @@
-//! Which faults strike, and when: as soon as they are to be borne, and at the first message of a change.
+//! Injects faults as soon as they must be tolerated, or at the first message of an electorate change.
 
 use crate::checker::lost_now;
-use crate::machine::Power;
+use crate::machine::ProcessState;
 use crate::world::{Event, World};
 use std::collections::{BTreeMap, BTreeSet};
 use switchhill_register::Electorate;
@@ -9,26 +9,26 @@
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is killed and comes back with its disk.
+    /// The process is killed and restarts with its disk.
     Kill,
-    /// The disk is lost; the machine comes back with an empty one.
+    /// The disk is lost; the machine restarts with an empty one.
     Wipe,
     /// The machine with the oldest disk loses it.
     WipeOldest,
-    /// The machine is taken away; a successor comes later, at another address.
+    /// The machine is permanently removed; a replacement starts later at another address.
     Replace,
-    /// A successor comes first; then the machine is told to end and goes.
+    /// A replacement starts first; then the machine is asked to terminate and is removed.
     PlannedReplace,
-    /// The process is told to end and comes back with its disk.
+    /// The process is asked to terminate and restarts with its disk.
     Restart,
-    /// The machine is cut off, hears nobody or is heard by nobody.
-    Cut,
-    Deafen,
-    Silence,
+    /// The machine is partitioned: both ways, receiving nothing, or sending nothing.
+    Partition,
+    BlockInbound,
+    BlockOutbound,
     Freeze,
     StallDisk,
-    /// A whole zone is cut off, or loses its processes.
-    CutZone,
+    /// A whole zone is partitioned, or all its processes are killed.
+    PartitionZone,
     KillZone,
     /// The process that sends the first message of the next change is killed.
     KillDriver,
@@ -36,7 +36,7 @@
     KillMajority,
     /// All processes are killed.
     KillAll,
-    /// Right after an acknowledgement all machines lose power, and as many as are to be borne lose their disks.
+    /// Right after an acknowledgement all machines lose power, and the tolerated number of machines lose their disks.
     LosePower,
 }
 
@@ -47,12 +47,12 @@
     Fault::Replace,
     Fault::PlannedReplace,
     Fault::Restart,
-    Fault::Cut,
-    Fault::Deafen,
-    Fault::Silence,
+    Fault::Partition,
+    Fault::BlockInbound,
+    Fault::BlockOutbound,
     Fault::Freeze,
     Fault::StallDisk,
-    Fault::CutZone,
+    Fault::PartitionZone,
     Fault::KillZone,
     Fault::KillDriver,
     Fault::KillMajority,
@@ -60,23 +60,23 @@
     Fault::LosePower,
 ];
 
-/// Time in milliseconds before a fault that can't be borne yet is tried again.
-const TRY_AGAIN_MS: u64 = 25;
+/// Delay in milliseconds before retrying a fault that is not tolerated yet.
+const RETRY_MS: u64 = 25;
 
-/// State of the faults of a day.
+/// State of the fault injection of a run.
 #[derive(Default)]
 pub struct Faults {
     pub is_over: bool,
-    /// Machines told to end that come back, with the pause before they do.
+    /// Terminating machines that will restart, with the delay before the restart.
     pub returning: BTreeMap<usize, u64>,
-    /// The fault that waits until it is to be borne.
-    waiting: Option<Fault>,
-    /// The fault that waits for the first message of a change.
-    pub aimed: Option<Fault>,
-    /// Whether the power fails at the next acknowledgement while nothing is lost.
+    /// The fault that is deferred until it is tolerated.
+    deferred: Option<Fault>,
+    /// The fault to inject at the first message of an electorate change.
+    pub at_next_change: Option<Fault>,
+    /// Whether all machines lose power at the next acknowledgement while nothing is lost.
     pub after_acknowledgement: bool,
-    /// Faults struck, by kind.
-    pub struck: BTreeMap<String, usize>,
+    /// Number of injected faults, by kind.
+    pub injected: BTreeMap<String, usize>,
 }
 
 impl Faults {
@@ -85,36 +85,36 @@
     }
 }
 
-/// Strikes the next fault if it can be borne now, and otherwise as soon as it can.
-pub fn strike_next(world: &mut World) {
+/// Injects the next fault, or defers it until it is tolerated.
+pub fn inject_next(world: &mut World) {
     if world.faults.is_over {
         return;
     }
-    let fault = match world.faults.waiting.take() {
+    let fault = match world.faults.deferred.take() {
         Some(fault) => fault,
         None => KINDS[world.random.usize(0..KINDS.len())],
     };
-    let pause = if strike(world, fault) {
-        if world.checker.narrated {
+    let pause = if inject(world, fault) {
+        if world.checker.verbose {
             println!("{} {fault:?}", world.now);
         }
-        *world.faults.struck.entry(format!("{fault:?}")).or_default() += 1;
-        // Often the next one follows as soon as it can be borne.
+        *world.faults.injected.entry(format!("{fault:?}")).or_default() += 1;
+        // Half of the faults follow almost at once, so that they are injected as soon as they are tolerated.
         if world.random.bool() {
             world.random.u64(0..300)
         } else {
             world.random.u64(300..7_000)
         }
     } else {
-        world.faults.waiting = Some(fault);
-        TRY_AGAIN_MS
+        world.faults.deferred = Some(fault);
+        RETRY_MS
     };
     let at = world.now + pause;
     world.add(at, Event::Fault);
 }
 
-/// Strikes a fault; tells whether it did.
-pub fn strike(world: &mut World, fault: Fault) -> bool {
+/// Injects or schedules a fault; returns false if it is not tolerated now.
+pub fn inject(world: &mut World, fault: Fault) -> bool {
     match fault {
         Fault::KillAll => {
             kill_all(world);
@@ -125,13 +125,13 @@
             true
         }
         Fault::KillDriver | Fault::KillMajority => {
-            world.faults.aimed = Some(fault);
+            world.faults.at_next_change = Some(fault);
             true
         }
-        Fault::CutZone | Fault::KillZone => strike_zone(world, fault),
-        _ => match bearable_machine(world, fault) {
+        Fault::PartitionZone | Fault::KillZone => inject_into_zone(world, fault),
+        _ => match tolerated_machine(world, fault) {
             Some(index) => {
-                strike_machine(world, fault, index);
+                inject_into_machine(world, fault, index);
                 true
             }
             None => false,
@@ -139,14 +139,14 @@
     }
 }
 
-/// A machine that counts and whose loss is to be borne now.
-fn bearable_machine(world: &mut World, fault: Fault) -> Option<usize> {
+/// Chooses an available machine whose loss is tolerated now.
+fn tolerated_machine(world: &mut World, fault: Fault) -> Option<usize> {
     let now = world.now;
     let mut lost = lost_now(&world.site, &world.machines, now);
     let counting = (0..world.machines.len()).filter(|index| {
         let machine = &world.machines[*index];
-        let of_seat = world.machines.iter().filter(|other| other.seat == machine.seat && !other.is_gone());
-        machine.counts(now) && machine.leaving_since.is_none() && of_seat.count() == 1
+        let of_seat = world.machines.iter().filter(|other| other.seat == machine.seat && !other.is_removed());
+        machine.is_available(now) && machine.terminating_since.is_none() && of_seat.count() == 1
     });
     let counting: Vec<usize> = counting.collect();
     let index = match fault {
@@ -157,10 +157,10 @@
     (lost.seats.len() <= world.site.machines_lost).then_some(index)
 }
 
-pub fn strike_machine(world: &mut World, fault: Fault, index: usize) {
+pub fn inject_into_machine(world: &mut World, fault: Fault, index: usize) {
     let now = world.now;
     let until = now + world.random.u64(100..12_000);
-    if world.checker.narrated {
+    if world.checker.verbose {
         println!("{} {fault:?} {index} {:x} until {until}", world.now, world.machines[index].replica);
     }
     match fault {
@@ -173,23 +173,23 @@
             let seat = world.machines[index].seat;
             world.stop(index, true);
             let at = now + world.random.u64(0..5_000);
-            world.add(at, Event::Succeed(seat));
+            world.add(at, Event::StartReplacement(seat));
         }
         Fault::PlannedReplace => {
             let seat = world.machines[index].seat;
-            world.add(now, Event::Succeed(seat));
+            world.add(now, Event::StartReplacement(seat));
             let at = now + world.random.u64(4_100..9_000);
             world.add(at, Event::Terminate(index, false));
         }
         Fault::Restart => world.add(now, Event::Terminate(index, true)),
-        Fault::Cut => world.machines[index].cut_until = until,
-        Fault::Deafen => world.machines[index].deaf_until = until,
-        Fault::Silence => world.machines[index].mute_until = until,
+        Fault::Partition => world.machines[index].partitioned_until = until,
+        Fault::BlockInbound => world.machines[index].inbound_blocked_until = until,
+        Fault::BlockOutbound => world.machines[index].outbound_blocked_until = until,
         Fault::Freeze => world.freeze(index, until),
         Fault::StallDisk => world.machines[index].disk.stalled_until = until,
         _ => {}
     }
-    world.machines[index].note_state(now);
+    world.machines[index].update_health(now);
 }
 
 fn restart_after(world: &mut World, index: usize, longest: u64) {
@@ -198,7 +198,7 @@
     world.add(at, Event::Start(index));
 }
 
-fn strike_zone(world: &mut World, fault: Fault) -> bool {
+fn inject_into_zone(world: &mut World, fault: Fault) -> bool {
     if world.site.zones_lost == 0 {
         return true;
     }
@@ -210,10 +210,10 @@
     let of_zone = (0..world.machines.len()).filter(|index| world.machines[*index].zone == zone);
     for index in of_zone.collect::<Vec<usize>>() {
         match fault {
-            Fault::CutZone => world.machines[index].cut_until = until,
+            Fault::PartitionZone => world.machines[index].partitioned_until = until,
             _ => restart_after(world, index, 6_000),
         }
-        world.machines[index].note_state(world.now);
+        world.machines[index].update_health(world.now);
     }
     true
 }
@@ -222,18 +222,18 @@
     for index in 0..world.machines.len() {
         restart_after(world, index, 1_000);
     }
-    world.checker.forget_losses();
+    world.checker.discard_losses();
 }
 
-/// An order was acknowledged.
-pub fn strike_after_acknowledgement(world: &mut World) {
+/// Injects the pending power loss after an acknowledged order.
+pub fn inject_after_acknowledgement(world: &mut World) {
     let nothing_lost = lost_now(&world.site, &world.machines, world.now).seats.is_empty();
     if !world.faults.after_acknowledgement || world.faults.is_over || !nothing_lost {
         return;
     }
     world.faults.after_acknowledgement = false;
     kill_all(world);
-    let there = (0..world.machines.len()).filter(|index| !world.machines[*index].is_gone());
+    let there = (0..world.machines.len()).filter(|index| !world.machines[*index].is_removed());
     let mut there: Vec<usize> = there.collect();
     world.random.shuffle(&mut there);
     for index in there.into_iter().take(world.site.machines_lost) {
@@ -241,18 +241,19 @@
     }
 }
 
-/// A message of a change of the electorate is sent: the fault that waits for it strikes, now or in its course.
-pub fn aim(world: &mut World, sender: usize, electorate: &Electorate) {
+/// Schedules the fault that is pending for an electorate change when a message of the change is sent; it is injected
+/// immediately or while the change is in progress.
+pub fn schedule_at_change(world: &mut World, sender: usize, electorate: &Electorate) {
     if !electorate.is_joint() || world.faults.is_over {
         return;
     }
-    if let Some(fault) = world.faults.aimed.take() {
+    if let Some(fault) = world.faults.at_next_change.take() {
         let at = world.now + world.random.u64(0..80);
-        world.add(at, Event::Aimed(fault, sender));
+        world.add(at, Event::FaultDuringChange(fault, sender));
     }
 }
 
-pub fn strike_aimed(world: &mut World, fault: Fault, sender: usize) {
+pub fn inject_during_change(world: &mut World, fault: Fault, sender: usize) {
     if fault == Fault::KillMajority {
         let running = (0..world.machines.len()).filter(|index| world.machines[*index].node().is_some());
         let mut running: Vec<usize> = running.collect();
@@ -261,13 +262,13 @@
         for index in killed {
             restart_after(world, index, 2_500);
         }
-        world.checker.forget_losses();
+        world.checker.discard_losses();
         return;
     }
     let mut lost = lost_now(&world.site, &world.machines, world.now);
     lost.seats.push(world.machines[sender].seat);
-    let runs = matches!(world.machines[sender].power, Power::Running(_));
+    let runs = matches!(world.machines[sender].process, ProcessState::Running(_));
     if runs && lost.seats.len() <= world.site.machines_lost {
-        strike_machine(world, fault, sender);
+        inject_into_machine(world, fault, sender);
     }
 }
--- a/crates/control/tests/electorate/world.rs
+++ b/crates/control/tests/electorate/world.rs
@@ -1,39 +1,39 @@
-//! Core nodes in virtual time: their network, disks and restarts.
+//! Simulates core nodes in virtual time with their network, disks and restarts.
 
-use crate::checker::{is_bearable, lost_now, Checker, Figures};
+use crate::checker::{is_tolerated, lost_now, Checker, Figures};
 use crate::faults::{Fault, Faults};
-use crate::machine::{Disk, Machine, Power};
+use crate::machine::{Disk, Machine, ProcessState};
 use crate::node_settings::node_settings;
-use crate::operator::{Learnt, Operator};
+use crate::operator::{AnswerOutcome, Operator};
 use crate::site::{Flaw, Site};
 use std::collections::{BTreeMap, VecDeque};
 use switchhill_control::{ControlNode, Input, NodeSettings, Output};
 use switchhill_protocol::{PeerBody, PeerFrame};
 use switchhill_register::{Body, Electorate, Member, Message, ReplicaId};
 
-/// Machines of the first electorate.
+/// Number of machines in the first electorate.
 const FIRST_VOTERS: usize = 3;
 
-/// Time of the first event, so that times before it can be named.
+/// Time of the first event; it is above zero so that earlier times can be represented.
 pub const START_MS: u64 = 1_000_000;
 
-/// Calm at the end of a day, longer than any trouble.
-const LAST_CALM_MS: u64 = 25_000;
+/// Time without faults at the end of a run, longer than any fault.
+const RECOVERY_MS: u64 = 25_000;
 
-/// Time for the last reads.
+/// Time for the final reads.
 const READ_BACK_MS: u64 = 3_000;
 
 const TICK_MS: u64 = 25;
-const LOOK_MS: u64 = 10;
+const CHECK_MS: u64 = 10;
 const OPERATOR_MS: u64 = 150;
 
-/// Time of a sync of the disk.
+/// Duration of a disk sync.
 const SYNC_MS: u64 = 5;
 
-/// Longest time that a process told to end waits, as the program does: `graceS` less a second.
-const LEAVE_WITHIN_MS: u64 = 7_000;
+/// Longest time that a terminating process waits before it exits, as in the program: `graceS` minus one second.
+const MAX_LEAVE_MS: u64 = 7_000;
 
-/// Something that happens to a machine or to the world.
+/// An event of the simulation.
 pub enum Event {
     Tick(usize, u64),
     Deliver(String, Box<PeerFrame>),
@@ -41,13 +41,13 @@
     Start(usize),
     Thaw(usize),
     Operate,
-    Look,
+    Check,
     Fault,
-    /// Strikes the machine that sent the first message of a change of the electorate, or the majority with it.
-    Aimed(Fault, usize),
-    /// A successor starts in this seat.
-    Succeed(usize),
-    /// A machine is told to end; whether it comes back.
+    /// Injects a fault into the machine that sent the first message of an electorate change, or into a majority.
+    FaultDuringChange(Fault, usize),
+    /// Starts a replacement in this seat.
+    StartReplacement(usize),
+    /// Asks a machine to terminate; the flag tells whether it restarts.
     Terminate(usize, bool),
 }
 
@@ -67,8 +67,8 @@
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     next_address: u64,
-    /// Whether the newest reads are to be judged: all is calm.
-    judging: bool,
+    /// Whether reads must return the newest acknowledged order, because all faults have ended.
+    checks_reads: bool,
 }
 
 impl World {
@@ -89,7 +89,7 @@
             events: BTreeMap::new(),
             next_event: 0,
             next_address: 0,
-            judging: false,
+            checks_reads: false,
         };
         for (seat, zone) in site.zone_of_each().into_iter().enumerate() {
             world.add_machine(seat, zone);
@@ -101,16 +101,16 @@
             let at = world.now + world.random.u64(0..300);
             world.add(at, Event::Start(index));
         }
-        world.add(world.now, Event::Look);
+        world.add(world.now, Event::Check);
         world.add(world.now + 1_500, Event::Operate);
         world
     }
 
-    /// Adds a machine that does not run yet.
+    /// Adds a machine whose process is not running yet.
     pub fn add_machine(&mut self, seat: usize, zone: usize) -> usize {
         self.next_address += 1;
         let address = format!("10.0.0.{}:7000", self.next_address);
-        // Ids of successors are drawn, so that they come before and after the others in the agreed order.
+        // Random replica ids place replacements before and after the other machines in the agreed order.
         let replica = self.random.u64(1..1 << 40);
         self.machines.push(Machine {
             seat,
@@ -118,15 +118,15 @@
             address,
             replica,
             genesis: false,
-            power: Power::Down,
+            process: ProcessState::Down,
             disk: Disk::default(),
-            life: 0,
-            cut_until: 0,
-            deaf_until: 0,
-            mute_until: 0,
-            well_since: None,
-            leaving_since: None,
-            is_to_return: false,
+            incarnation: 0,
+            partitioned_until: 0,
+            inbound_blocked_until: 0,
+            outbound_blocked_until: 0,
+            healthy_since: None,
+            terminating_since: None,
+            will_restart: false,
         });
         self.machines.len() - 1
     }
@@ -136,7 +136,7 @@
         self.events.insert((at.max(self.now), self.next_event), event);
     }
 
-    /// Plays until a time.
+    /// Runs the simulation until `end`.
     pub fn run_until(&mut self, end: u64) {
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > end {
@@ -144,25 +144,25 @@
             }
             self.now = entry.key().0;
             let event = entry.remove();
-            self.happen(event);
+            self.handle(event);
         }
         self.now = end;
     }
 
-    /// Plays a day: trouble, then calm, then reads that must see all that was acknowledged.
-    pub fn play(mut self, trouble_ms: u64) -> (Figures, Vec<String>) {
+    /// Runs fault injection, then recovery, then reads that must return all acknowledged orders.
+    pub fn run(mut self, faults_ms: u64) -> (Figures, Vec<String>) {
         let start = self.now;
         self.run_until(start + 6_000);
         self.add(self.now, Event::Fault);
-        self.run_until(start + 6_000 + trouble_ms);
-        self.end_calmly(LAST_CALM_MS)
+        self.run_until(start + 6_000 + faults_ms);
+        self.finish(RECOVERY_MS)
     }
 
-    /// Ends all trouble and reads everything back.
-    pub fn end_calmly(mut self, calm_ms: u64) -> (Figures, Vec<String>) {
+    /// Stops the fault injection, waits for recovery and checks the final state.
+    pub fn finish(mut self, recovery_ms: u64) -> (Figures, Vec<String>) {
         self.faults.is_over = true;
-        self.run_until(self.now + calm_ms);
-        self.judging = true;
+        self.run_until(self.now + recovery_ms);
+        self.checks_reads = true;
         let acknowledged = self.checker.figures.acknowledged;
         for index in 0..self.machines.len() {
             let (id, call) = self.operator.read(self.now);
@@ -170,7 +170,7 @@
         }
         self.run_until(self.now + READ_BACK_MS);
         if self.checker.figures.acknowledged == acknowledged {
-            self.checker.violations.push("no order is acknowledged after all trouble has ended".into());
+            self.checker.violations.push("no order is acknowledged after all faults have ended".into());
         }
         self.check_last_electorate();
         let seed = self.seed;
@@ -178,47 +178,49 @@
         (self.checker.figures, violations.collect())
     }
 
-    /// In the end all members are up, and they are enough.
+    /// Checks that all members of the final electorate are running, and that there are enough of them.
     fn check_last_electorate(&mut self) {
         let Some(electorate) = self.checker.electorate().cloned() else { return };
         let up = |member: &&Member| {
             let mut of_member = self.machines.iter().filter(|machine| machine.replica == member.id.0);
-            of_member.any(|machine| !machine.is_in_trouble(self.now))
+            of_member.any(|machine| !machine.is_faulty(self.now))
         };
         let members_up = electorate.members.iter().filter(up).count();
         let least = (2 * self.site.machines_lost + 1).min(self.site.machines());
         if electorate.is_joint() || members_up < electorate.members.len() || members_up < least {
-            self.checker.violations.push(format!("the last electorate has {members_up} up: {electorate:?}"));
+            self.checker
+                .violations
+                .push(format!("the final electorate has {members_up} running members: {electorate:?}"));
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Tick(index, life) => self.tick(index, life),
+            Event::Tick(index, incarnation) => self.tick(index, incarnation),
             Event::Deliver(address, frame) => self.deliver(&address, *frame),
-            Event::Synced(index, life) => self.synced(index, life),
+            Event::Synced(index, incarnation) => self.synced(index, incarnation),
             Event::Start(index) => self.start(index),
             Event::Thaw(index) => self.thaw(index),
             Event::Operate => self.operate(),
-            Event::Look => self.look(),
-            Event::Fault => crate::faults::strike_next(self),
-            Event::Aimed(fault, index) => crate::faults::strike_aimed(self, fault, index),
-            Event::Succeed(seat) => self.succeed(seat),
-            Event::Terminate(index, returns) => self.terminate(index, returns),
+            Event::Check => self.check(),
+            Event::Fault => crate::faults::inject_next(self),
+            Event::FaultDuringChange(fault, index) => crate::faults::inject_during_change(self, fault, index),
+            Event::StartReplacement(seat) => self.start_replacement(seat),
+            Event::Terminate(index, restarts) => self.terminate(index, restarts),
         }
     }
 
-    fn look(&mut self) {
-        self.add(self.now + LOOK_MS, Event::Look);
+    fn check(&mut self) {
+        self.add(self.now + CHECK_MS, Event::Check);
         let now = self.now;
         for machine in &mut self.machines {
-            machine.note_state(now);
+            machine.update_health(now);
         }
-        self.checker.look(now, &self.site, &self.machines);
+        self.checker.check(now, &self.site, &self.machines);
         let lost = lost_now(&self.site, &self.machines, now);
-        if !is_bearable(&self.site, &lost) {
+        if !is_tolerated(&self.site, &lost) {
             self.last_acknowledged = now;
-            self.checker.forget_losses();
+            self.checker.discard_losses();
         }
         if now > self.started + 10_000 {
             let waited = now - self.last_acknowledged;
@@ -229,7 +231,7 @@
 
     fn operate(&mut self) {
         self.add(self.now + OPERATOR_MS, Event::Operate);
-        let up = (0..self.machines.len()).filter(|index| !self.machines[*index].is_in_trouble(self.now));
+        let up = (0..self.machines.len()).filter(|index| !self.machines[*index].is_faulty(self.now));
         let up: Vec<usize> = up.collect();
         if let Some(index) = self.random.choice(up) {
             let (id, call) = self.operator.next(self.now);
@@ -237,13 +239,13 @@
         }
     }
 
-    /// Starts a machine's process with what its disk holds.
+    /// Starts a machine's process from the records on its disk.
     fn start(&mut self, index: usize) {
-        if !matches!(self.machines[index].power, Power::Down) {
+        if !matches!(self.machines[index].process, ProcessState::Down) {
             return;
         }
-        let life = self.random.u64(..);
-        let settings = self.settings(index, life);
+        let incarnation = self.random.u64(..);
+        let settings = self.settings(index, incarnation);
         let machine = &mut self.machines[index];
         let records = machine.disk.synced.clone();
         let first = machine.genesis && records.is_empty();
@@ -253,95 +255,96 @@
             members.map(member).collect()
         });
         let machine = &mut self.machines[index];
-        machine.power = Power::Running(Box::new(ControlNode::new(self.now, settings, records, genesis)));
-        machine.life += 1;
-        machine.leaving_since = None;
-        machine.is_to_return = false;
-        let (seat, life) = (machine.seat, machine.life);
-        self.checker.seat_back(seat, self.now);
-        self.add(self.now, Event::Tick(index, life));
+        machine.process =
+            ProcessState::Running(Box::new(ControlNode::new(self.now, settings, records, genesis)));
+        machine.incarnation += 1;
+        machine.terminating_since = None;
+        machine.will_restart = false;
+        let (seat, incarnation) = (machine.seat, machine.incarnation);
+        self.checker.record_return(seat, self.now);
+        self.add(self.now, Event::Tick(index, incarnation));
     }
 
-    fn settings(&self, index: usize, life: u64) -> NodeSettings {
+    fn settings(&self, index: usize, incarnation: u64) -> NodeSettings {
         let machine = &self.machines[index];
-        let drops = self.flaw == Some(Flaw::DropsBelowQuorum);
-        let ignores = self.flaw == Some(Flaw::IgnoresZones);
+        let removes_below_quorum = self.flaw == Some(Flaw::DropsBelowQuorum);
+        let ignores_zones = self.flaw == Some(Flaw::IgnoresZones);
         NodeSettings {
             node_name: format!("core-{index}"),
-            machines_lost: if drops { 0 } else { self.site.machines_lost },
+            machines_lost: if removes_below_quorum { 0 } else { self.site.machines_lost },
             zone: format!("zone-{}", machine.zone),
-            zones_lost: if ignores { 0 } else { self.site.zones_lost },
+            zones_lost: if ignores_zones { 0 } else { self.site.zones_lost },
             worker_heartbeat_ms: 1_200,
             lease_ms: 3_000,
-            ..node_settings(machine.replica, life, machine.address.clone(), self.seeds.clone())
+            ..node_settings(machine.replica, incarnation, machine.address.clone(), self.seeds.clone())
         }
     }
 
-    fn tick(&mut self, index: usize, life: u64) {
-        if self.machines[index].life != life
-            || matches!(self.machines[index].power, Power::Down | Power::Gone)
+    fn tick(&mut self, index: usize, incarnation: u64) {
+        if self.machines[index].incarnation != incarnation
+            || matches!(self.machines[index].process, ProcessState::Down | ProcessState::Removed)
         {
             return;
         }
-        self.add(self.now + TICK_MS, Event::Tick(index, life));
-        if matches!(self.machines[index].power, Power::Running(_)) {
+        self.add(self.now + TICK_MS, Event::Tick(index, incarnation));
+        if matches!(self.machines[index].process, ProcessState::Running(_)) {
             self.input(index, Input::Tick);
         }
-        self.end_if_it_may(index);
+        self.exit_if_allowed(index);
     }
 
-    fn end_if_it_may(&mut self, index: usize) {
+    fn exit_if_allowed(&mut self, index: usize) {
         let machine = &self.machines[index];
-        let (Some(since), Some(node)) = (machine.leaving_since, machine.node()) else { return };
+        let (Some(since), Some(node)) = (machine.terminating_since, machine.node()) else { return };
         let at_once = self.flaw == Some(Flaw::LeavesAtOnce);
-        if at_once || self.now >= since + LEAVE_WITHIN_MS || node.may_leave(self.now) {
-            let returns = self.faults.returning.remove(&index);
-            self.stop(index, returns.is_none());
-            if let Some(pause) = returns {
+        if at_once || self.now >= since + MAX_LEAVE_MS || node.may_leave(self.now) {
+            let restart_delay = self.faults.returning.remove(&index);
+            self.stop(index, restart_delay.is_none());
+            if let Some(pause) = restart_delay {
                 self.add(self.now + pause, Event::Start(index));
             }
         }
     }
 
-    fn terminate(&mut self, index: usize, returns: bool) {
+    fn terminate(&mut self, index: usize, restarts: bool) {
         let machine = &self.machines[index];
         let others = self.machines.iter().filter(|other| other.seat == machine.seat);
-        let is_succeeded = others.filter(|other| other.counts(self.now)).count() > 1;
-        if !matches!(machine.power, Power::Running(_)) || !(returns || is_succeeded) {
-            if !returns && !self.machines[index].is_gone() {
+        let is_replaced = others.filter(|other| other.is_available(self.now)).count() > 1;
+        if !matches!(machine.process, ProcessState::Running(_)) || !(restarts || is_replaced) {
+            if !restarts && !self.machines[index].is_removed() {
                 self.add(self.now + 500, Event::Terminate(index, false));
             }
             return;
         }
-        if returns {
+        if restarts {
             let pause = self.random.u64(200..1_500);
             self.faults.returning.insert(index, pause);
-            self.machines[index].is_to_return = true;
+            self.machines[index].will_restart = true;
         }
-        self.machines[index].leaving_since.get_or_insert(self.now);
+        self.machines[index].terminating_since.get_or_insert(self.now);
         self.input(index, Input::Leave);
     }
 
-    /// Ends a machine's process; for good if it is taken away.
-    pub fn stop(&mut self, index: usize, for_good: bool) {
-        self.checker.look_at(&self.machines[index]);
+    /// Stops a machine's process, permanently if the machine is removed.
+    pub fn stop(&mut self, index: usize, permanently: bool) {
+        self.checker.record_committed(&self.machines[index]);
         let random = &mut self.random;
         let machine = &mut self.machines[index];
-        if matches!(machine.power, Power::Gone) {
+        if matches!(machine.process, ProcessState::Removed) {
             return;
         }
         machine.disk.crash(random);
-        machine.power = if for_good { Power::Gone } else { Power::Down };
-        machine.well_since = None;
+        machine.process = if permanently { ProcessState::Removed } else { ProcessState::Down };
+        machine.healthy_since = None;
         let (seat, now) = (machine.seat, self.now);
-        let seat_is_held = self.machines.iter().any(|other| other.seat == seat && other.counts(now));
+        let seat_is_held = self.machines.iter().any(|other| other.seat == seat && other.is_available(now));
         if !seat_is_held {
-            self.checker.seat_lost(seat, now);
-            self.checker.seat_lost_again(seat);
+            self.checker.record_loss(seat, now);
+            self.checker.discard_return(seat);
         }
     }
 
-    /// The disk of a machine that is down is empty; it comes back as another replica at its address.
+    /// Erases the disk of a stopped machine, which then restarts as another replica at the same address.
     pub fn wipe(&mut self, index: usize) {
         let id = self.random.u64(1..1 << 40);
         let machine = &mut self.machines[index];
@@ -352,7 +355,7 @@
         }
     }
 
-    fn succeed(&mut self, seat: usize) {
+    fn start_replacement(&mut self, seat: usize) {
         let zone = self.site.zone_of_each()[seat];
         let index = self.add_machine(seat, zone);
         let up = self.machines.iter().filter(|machine| machine.node().is_some());
@@ -366,33 +369,33 @@
 
     pub fn freeze(&mut self, index: usize, until: u64) {
         let machine = &mut self.machines[index];
-        if let Power::Running(node) = std::mem::replace(&mut machine.power, Power::Down) {
-            machine.power = Power::Frozen(node, Vec::new());
-            machine.well_since = None;
+        if let ProcessState::Running(node) = std::mem::replace(&mut machine.process, ProcessState::Down) {
+            machine.process = ProcessState::Frozen(node, Vec::new());
+            machine.healthy_since = None;
             self.add(until, Event::Thaw(index));
         }
     }
 
     fn thaw(&mut self, index: usize) {
         let machine = &mut self.machines[index];
-        match std::mem::replace(&mut machine.power, Power::Down) {
-            Power::Frozen(node, inputs) => {
-                machine.power = Power::Running(node);
+        match std::mem::replace(&mut machine.process, ProcessState::Down) {
+            ProcessState::Frozen(node, inputs) => {
+                machine.process = ProcessState::Running(node);
                 for input in inputs {
                     self.input(index, input);
                 }
             }
-            other => machine.power = other,
+            other => machine.process = other,
         }
     }
 
-    fn synced(&mut self, index: usize, life: u64) {
-        if self.machines[index].life != life {
+    fn synced(&mut self, index: usize, incarnation: u64) {
+        if self.machines[index].incarnation != incarnation {
             return;
         }
         let stalled_until = self.machines[index].disk.stalled_until;
         if self.now < stalled_until {
-            self.add(stalled_until, Event::Synced(index, life));
+            self.add(stalled_until, Event::Synced(index, incarnation));
         } else if let Some(token) = self.machines[index].disk.advance(self.now) {
             self.input(index, Input::Persisted(token));
         }
@@ -406,28 +409,28 @@
         self.input(index, Input::Peer(frame));
     }
 
-    /// Gives a machine's node an input and carries out all that follows.
+    /// Passes an input to a machine's node and executes the outputs.
     pub fn input(&mut self, index: usize, input: Input) {
-        let outputs = match &mut self.machines[index].power {
-            Power::Running(node) => node.handle(self.now, input),
-            Power::Frozen(_, waiting) => {
+        let outputs = match &mut self.machines[index].process {
+            ProcessState::Running(node) => node.handle(self.now, input),
+            ProcessState::Frozen(_, waiting) => {
                 waiting.push(input);
                 return;
             }
-            Power::Down | Power::Gone => return,
+            ProcessState::Down | ProcessState::Removed => return,
         };
         let mut outputs = VecDeque::from(outputs);
-        let life = self.machines[index].life;
+        let incarnation = self.machines[index].incarnation;
         while let Some(output) = outputs.pop_front() {
             let machine = &self.machines[index];
-            if machine.life != life || !matches!(machine.power, Power::Running(_)) {
+            if machine.incarnation != incarnation || !matches!(machine.process, ProcessState::Running(_)) {
                 return;
             }
-            self.carry_out(index, output);
+            self.execute(index, output);
         }
     }
 
-    fn carry_out(&mut self, index: usize, output: Output) {
+    fn execute(&mut self, index: usize, output: Output) {
         match output {
             Output::Peers(addresses, frame) => {
                 for address in addresses {
@@ -438,20 +441,20 @@
                 let due = self.now + SYNC_MS + self.random.u64(0..4);
                 let machine = &mut self.machines[index];
                 machine.disk.pending.push_back((due, token, record));
-                let life = machine.life;
-                self.add(due + 4, Event::Synced(index, life));
+                let incarnation = machine.incarnation;
+                self.add(due + 4, Event::Synced(index, incarnation));
             }
             Output::Answer(id, answer) => {
                 if !self.machines[index].can_send(self.now) {
                     return;
                 }
                 match self.operator.answered(id, &answer) {
-                    Learnt::Acknowledged(sent) => {
+                    AnswerOutcome::Acknowledged(sent) => {
                         self.last_acknowledged = self.now;
                         self.checker.acknowledged(sent.base, sent.revision, sent.marker);
-                        crate::faults::strike_after_acknowledgement(self);
+                        crate::faults::inject_after_acknowledgement(self);
                     }
-                    Learnt::Read { revision, marker } if self.judging => {
+                    AnswerOutcome::Read { revision, marker } if self.checks_reads => {
                         self.checker.read_back(revision, marker)
                     }
                     _ => {}
@@ -463,21 +466,21 @@
 
     fn send(&mut self, index: usize, address: String, frame: PeerFrame) {
         if let Some(electorate) = proposed_electorate(&frame) {
-            crate::faults::aim(self, index, &electorate);
+            crate::faults::schedule_at_change(self, index, &electorate);
         }
         if !self.machines[index].can_send(self.now) || self.random.u32(0..100) < self.faults.loss_percent() {
             return;
         }
         let copies = if self.random.u32(0..50) == 0 { 2 } else { 1 };
         for _ in 0..copies {
-            let late = if self.random.u32(0..40) == 0 { 120 } else { 4 };
-            let at = self.now + 1 + self.random.u64(0..late);
+            let jitter_ms = if self.random.u32(0..40) == 0 { 120 } else { 4 };
+            let at = self.now + 1 + self.random.u64(0..jitter_ms);
             self.add(at, Event::Deliver(address.clone(), Box::new(frame.clone())));
         }
     }
 }
 
-/// The electorate of the value that a message asks to accept.
+/// The electorate proposed by an accept message.
 fn proposed_electorate(frame: &PeerFrame) -> Option<Electorate> {
     let Some(PeerBody::Register(envelope)) = &frame.body else { return None };
     match Message::decode(&envelope.message).ok()?.body {
