--- a/crates/placement/src/message.rs
+++ b/crates/placement/src/message.rs
@@ -185,7 +185,7 @@
         /// All models and adapters it can serve.
         models: Vec<Resident>,
     },
-    /// ReportAnswer to [`Input::Missing`], repeated when it changes.
+    /// Answer to [`Input::Missing`], repeated when it changes.
     ReadyEstimate {
         /// Name of the model.
         model: String,
